--- a/core/src/main/java/dev/ibishub/core/entries/EntryFacts.java
+++ b/core/src/main/java/dev/ibishub/core/entries/EntryFacts.java
@@ -3,24 +3,24 @@
 import java.util.Objects;
 
 /**
- * What an entry says of itself.
+ * What an entry announces about itself to other entries.
  *
- * @param host its IP number
- * @param callerAddress where it takes callers' requests, host and port
- * @param startedAt when it started, milliseconds of its own time of day; only orders entries
+ * @param host its IP address
+ * @param callerAddress the host and port where it accepts requests of callers
+ * @param startedAt when it started, milliseconds of its own wall clock; used only to order entries
  * @param isReady whether callers may be sent there
- * @param isLeaving whether it still answers but is about to stop
+ * @param isLeaving whether it is about to stop, though it still answers
  */
 public record EntryFacts(
     String host, String callerAddress, long startedAt, boolean isReady, boolean isLeaving) {
-  /** Checks that host and address are there. */
+  /** Checks that host and address are given. */
   public EntryFacts {
     Objects.requireNonNull(host);
     Objects.requireNonNull(callerAddress);
   }
 
-  // Written out, as a record's own methods are linked at their first call, which takes a process
-  // that starts longer than all else that it does with heartbeats.
+  // Written out because a record's generated methods are linked at their first call, which takes a
+  // starting process longer than all its other work on heartbeats.
 
   @Override
   public boolean equals(Object other) {
--- a/core/src/main/java/dev/ibishub/core/entries/EntryRoster.java
+++ b/core/src/main/java/dev/ibishub/core/entries/EntryRoster.java
@@ -9,79 +9,92 @@
 import java.util.stream.Stream;
 
 /**
- * Which entries there are, which of them this one links to, and who comes first among them. Not
- * thread-safe.
+ * One entry's view of which other entries there are, which of them it links to, and its own
+ * position in their order. Used on the platform of the users; ibishub's own interface has {@link
+ * dev.ibishub.core.Membership}. Not thread-safe.
  *
- * <p>All entries stand in one order, the longest running first, that each works out by itself. Each
- * links to the first few of that order, its <em>relays</em>, and hears from them of all others. So
- * an entry that is not among the first sends and receives the same number of messages whatever the
- * size of the fleet; links between all would cost 42 entries some 8,600 heartbeats a second, where
- * relays need some 1,600. No list of members has to be agreed on, since nothing that must be right
- * depends on it: views that differ for a moment cost a few links more.
+ * <p>Each entry orders all entries by itself, the longest running first. It links to the first few,
+ * its <em>relays</em>, and learns of all others from them. An entry that is not a relay therefore
+ * sends and receives the same number of messages whatever the size of the fleet: links between all
+ * of 42 entries would cost some 8,600 heartbeats a second, relays need some 1,600. The entries
+ * don't have to agree on a list of members, as nothing that must be right depends on it: views that
+ * differ for a moment only cost a few more links.
  *
- * <p>An entry that starts again goes to the end of the order, so one that is lost again and again
- * does not take the lead each time that it is back.
+ * <p>An entry that restarts goes to the end of the order, so one that fails again and again does
+ * not take the lead each time it returns.
  */
 public final class EntryRoster {
   /**
-   * Entries that each links to. One would do to hear of all others; the rest bear losses at the
-   * same moment, before the next in order are linked.
+   * Number of relays that each entry links to. One is enough to learn of all others; the rest
+   * bridge the simultaneous loss of relays until the next entries in order are linked.
    */
-  public static final int RELAYS = 4;
+  public static final int RELAY_COUNT = 4;
 
-  /** An entry silent for longer than this, four heartbeats, is taken for gone. Milliseconds. */
+  /** Silence after which an entry is considered lost, milliseconds; four heartbeats. */
   public static final long ALIVE_MILLIS = 900;
 
   /**
-   * How long an entry to which a link is wanted may stay unheard before the next in order is tried
-   * as well, milliseconds; more than a connection attempt may take.
+   * How long a link may take to bring a first heartbeat before the next entry in order is linked as
+   * well, milliseconds; longer than a connection attempt may take.
    */
-  static final long PENDING_MILLIS = 1_200;
+  static final long LINK_TIMEOUT_MILLIS = 1_200;
 
-  /** An entry that nobody has heard for this long is forgotten. Milliseconds. */
-  static final long FORGET_MILLIS = 30_000;
+  /** Time without any sign of an entry after which it is evicted, milliseconds. */
+  static final long EVICTION_MILLIS = 30_000;
 
   /**
-   * A gap of this length in all that relays say means that they were lost, not that the others
-   * were; two heartbeats. Milliseconds.
+   * Silence of all linked entries after which the relays count as lost, rather than the entries
+   * that they reported, milliseconds; two heartbeats.
    */
-  static final long GAP_MILLIS = 450;
+  static final long RELAY_GAP_MILLIS = 450;
 
   /**
-   * How long what lost relays said of others still counts after the next relays are heard,
-   * milliseconds. These know only whom they hear themselves, and all others link to them about as
-   * late as this entry did.
+   * How long reports of lost relays still count after the next relays are heard, milliseconds. The
+   * new relays report only entries that they hear directly, and the other entries link to them
+   * about as late as this one did.
    */
-  static final long GRACE_MILLIS = 1_500;
+  static final long RELAY_CHANGE_GRACE_MILLIS = 1_500;
 
   private static final long NEVER = Long.MIN_VALUE / 2;
 
   private static final Comparator<Known> ORDER =
       Comparator.comparingLong(Known::startedAt)
-          .thenComparingInt(known -> known.spread)
+          .thenComparingInt(known -> known.hostHash)
           .thenComparing(known -> known.host);
 
   private final String ownHost;
   private final long ownStartedAt;
   private final Map<String, Known> byHost = new HashMap<>();
-  private long wordAt = NEVER;
+
+  /** When this entry last heard any other entry directly. */
+  private long anyHeardAt = NEVER;
+
   private long graceUntil = NEVER;
 
+  /** What is known of another entry. */
   private static final class Known {
     private final String host;
-    private final int spread;
+    private final int hostHash;
     private Optional<EntryFacts> facts = Optional.empty();
+
+    /** When this entry last heard it directly. */
     private long heardAt = NEVER;
-    private long toldAt = NEVER;
+
+    /** When, by the latest report of any relay, that relay last heard it. */
+    private long relayedAt = NEVER;
+
+    /** When there was last any sign of it: heard, reported by a relay or found otherwise. */
     private long namedAt;
+
+    /** Since when this entry has continuously wanted a link to it. */
     private long wantedSince = NEVER;
 
     Known(String host) {
       this.host = host;
-      this.spread = spread(host);
+      this.hostHash = hostHash(host);
     }
 
-    /** When it started; one that said nothing yet comes before all others. */
+    /** Returns when it started; one that has not announced itself yet sorts first. */
     private long startedAt() {
       return facts.isPresent() ? facts.get().startedAt() : Long.MIN_VALUE;
     }
@@ -90,30 +103,30 @@
   /**
    * Creates a roster that knows no other entry.
    *
-   * @param ownHost this entry's IP number
-   * @param ownStartedAt when it started, milliseconds of the time of day
+   * @param ownHost this entry's IP address
+   * @param ownStartedAt when this entry started, milliseconds of the wall clock
    */
   public EntryRoster(String ownHost, long ownStartedAt) {
     this.ownHost = ownHost;
     this.ownStartedAt = ownStartedAt;
   }
 
-  /** Notes that there may be an entry at an IP number. */
+  /** Records that there may be an entry at an IP address. */
   public void onNamed(String host, long now) {
     if (!host.equals(ownHost)) {
       known(host).namedAt = now;
     }
   }
 
-  /** Takes in what an entry itself said. */
+  /** Records what an entry announced about itself directly to this one. */
   public void onHeard(EntryFacts facts, long now) {
     if (facts.host().equals(ownHost)) {
       return;
     }
-    if (wordAt != NEVER && now - wordAt > GAP_MILLIS) {
-      graceUntil = now + GRACE_MILLIS;
+    if (anyHeardAt != NEVER && now - anyHeardAt > RELAY_GAP_MILLIS) {
+      graceUntil = now + RELAY_CHANGE_GRACE_MILLIS;
     }
-    wordAt = now;
+    anyHeardAt = now;
     Known known = known(facts.host());
     known.facts = Optional.of(facts);
     known.heardAt = now;
@@ -121,9 +134,11 @@
   }
 
   /**
-   * Takes in what another entry said of a third.
+   * Records what a relay reported about another entry.
    *
-   * @param heardAt when the other one heard the third, on this process's clock
+   * @param facts what that entry announced to the relay
+   * @param heardAt when the relay heard it, on this process's clock, milliseconds
+   * @param now the current time, milliseconds
    */
   public void onTold(EntryFacts facts, long heardAt, long now) {
     if (facts.host().equals(ownHost)) {
@@ -131,50 +146,53 @@
     }
     Known known = known(facts.host());
     known.namedAt = now;
-    if (heardAt <= Math.max(known.toldAt, known.heardAt)) {
+    if (heardAt <= Math.max(known.relayedAt, known.heardAt)) {
       return;
     }
     known.facts = Optional.of(facts);
-    known.toldAt = heardAt;
+    known.relayedAt = heardAt;
   }
 
   /**
-   * Returns the hosts that this entry should have links to: the first in order, until as many as it
-   * needs are heard or may yet be. To be called often.
+   * Returns the hosts that this entry should link to: the first in order, until {@link
+   * #RELAY_COUNT} of them are heard or may still be. Also evicts entries, so it is to be called
+   * regularly.
    */
   public List<String> wanted(long now) {
-    byHost.values().removeIf(known -> now - known.namedAt > FORGET_MILLIS);
+    byHost.values().removeIf(known -> now - known.namedAt > EVICTION_MILLIS);
     List<Known> wanted = new ArrayList<>();
-    int hoped = 0;
+    int expectedRelays = 0;
     for (Known known : byHost.values().stream().sorted(ORDER).toList()) {
-      if (hoped >= RELAYS) {
+      if (expectedRelays >= RELAY_COUNT) {
         known.wantedSince = NEVER;
         continue;
       }
       known.wantedSince = known.wantedSince == NEVER ? now : known.wantedSince;
       wanted.add(known);
-      hoped += isHeard(known, now) || isPending(known, now) ? 1 : 0;
+      expectedRelays += isHeard(known, now) || isPending(known, now) ? 1 : 0;
     }
     return wanted.stream().map(known -> known.host).toList();
   }
 
-  /** Whether an entry that this one wants to link to may yet be heard for the first time. */
+  /** Whether a wanted link is still within its timeout and has not brought a heartbeat. */
   public boolean isAnyPending(long now) {
     return byHost.values().stream()
         .anyMatch(known -> isPending(known, now) && !isHeard(known, now));
   }
 
-  /** Returns the others that are alive, in order. */
+  /** Returns the other entries that are alive, in order. */
   public List<EntryFacts> alive(long now) {
     return living(now).sorted(ORDER).map(known -> known.facts.orElseThrow()).toList();
   }
 
-  /** Returns how many others are alive. */
+  /** Returns how many other entries are alive. */
   public int countAlive(long now) {
     return (int) living(now).count();
   }
 
-  /** Returns how many others that stay come before this entry in order. */
+  /**
+   * Returns this entry's position in order, from 0, among the live entries that are not leaving.
+   */
   public int turn(long now) {
     Known own = new Known(ownHost);
     own.facts = Optional.of(new EntryFacts(ownHost, "", ownStartedAt, true, false));
@@ -185,7 +203,10 @@
             .count();
   }
 
-  /** Returns what this entry heard itself lately, to tell others; with the time of each word. */
+  /**
+   * Returns the entries that this one has heard directly within {@link #ALIVE_MILLIS}, each with
+   * the time when it was last heard, to report them to others.
+   */
   public Map<EntryFacts, Long> heard(long now) {
     Map<EntryFacts, Long> heard = new HashMap<>();
     byHost.values().stream()
@@ -195,11 +216,11 @@
   }
 
   private Stream<Known> living(long now) {
-    return byHost.values().stream().filter(known -> isLiving(known, now));
+    return byHost.values().stream().filter(known -> isAlive(known, now));
   }
 
-  private boolean isLiving(Known known, long now) {
-    return isHeard(known, now) || isTold(known, now);
+  private boolean isAlive(Known known, long now) {
+    return isHeard(known, now) || isRelayed(known, now);
   }
 
   private static boolean isHeard(Known known, long now) {
@@ -207,28 +228,32 @@
   }
 
   /**
-   * Whether relays say that an entry is alive. Guards against taking all others for gone when the
-   * relays are: each entry would name itself alone to callers and take the lead. What was told is
-   * therefore judged by the time of the last word of any relay, not by the time that passes; only
-   * one that did not answer to this entry itself meanwhile is gone.
+   * Whether an entry is alive according to the relays. A report's age is measured at the time of
+   * the last heartbeat of any linked entry, not at the current time. Otherwise the loss of all
+   * relays would look like the loss of all entries, and each entry would announce only itself to
+   * callers and take the lead. Only an entry whose link has brought no heartbeat within the timeout
+   * is judged by the current time.
    */
-  private boolean isTold(Known known, long now) {
-    long allowed = now <= graceUntil ? ALIVE_MILLIS + GRACE_MILLIS : ALIVE_MILLIS;
+  private boolean isRelayed(Known known, long now) {
+    long maximumAge = now <= graceUntil ? ALIVE_MILLIS + RELAY_CHANGE_GRACE_MILLIS : ALIVE_MILLIS;
     boolean isUnanswered = known.wantedSince != NEVER && !isPending(known, now);
-    boolean isLost = isUnanswered && now - known.toldAt > ALIVE_MILLIS;
-    return known.toldAt != NEVER && !isLost && wordAt - known.toldAt <= allowed;
+    boolean isLost = isUnanswered && now - known.relayedAt > ALIVE_MILLIS;
+    return known.relayedAt != NEVER && !isLost && anyHeardAt - known.relayedAt <= maximumAge;
   }
 
   private static boolean isPending(Known known, long now) {
-    return known.wantedSince != NEVER && now - known.wantedSince <= PENDING_MILLIS;
+    return known.wantedSince != NEVER && now - known.wantedSince <= LINK_TIMEOUT_MILLIS;
   }
 
   private Known known(String host) {
     return byHost.computeIfAbsent(host, Known::new);
   }
 
-  /** Spreads neighbouring IP numbers, so that those of one failure domain are not all first. */
-  private static int spread(String host) {
+  /**
+   * Scatters neighbouring IP addresses, so that the entries of one failure domain don't all come
+   * first.
+   */
+  private static int hostHash(String host) {
     return Integer.reverse(host.hashCode() * 0x9E3779B9);
   }
 }
--- a/core/src/main/java/dev/ibishub/core/entries/package-info.java
+++ b/core/src/main/java/dev/ibishub/core/entries/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Which entries there are and which of them an entry talks to. Times are milliseconds of one
- * monotonic clock, handed in by the caller.
+ * Which entries there are, and which of them an entry links to, on the platform of the users. Times
+ * are milliseconds of one monotonic clock, passed in by the caller.
  */
 package dev.ibishub.core.entries;
--- a/core/src/test/java/dev/ibishub/core/entries/EntryRosterTest.java
+++ b/core/src/test/java/dev/ibishub/core/entries/EntryRosterTest.java
@@ -11,16 +11,16 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Plays fleets whose entries hear each other over the links that their rosters ask for. */
+/** Simulates fleets whose entries exchange heartbeats over the links that their rosters want. */
 final class EntryRosterTest {
-  private static final long BEAT_MILLIS = 200;
+  private static final long HEARTBEAT_MILLIS = 200;
 
-  /** Entries of the fleet; the seeds are the last three, so that relays differ from seeds. */
+  /** Entries by host. The last three are the seeds, so that relays and seeds are different. */
   private final Map<String, Entry> fleet = new TreeMap<>();
 
   private final Set<String> lost = new HashSet<>();
   private long now = 100_000;
-  private long beats;
+  private long heartbeats;
 
   private static final class Entry {
     private final EntryFacts facts;
@@ -48,15 +48,15 @@
     fleet.put(host(number), entry);
   }
 
-  /** Lets all send heartbeats over the links that there are, for a time. */
-  private void passes(long millis) {
-    for (long end = now + millis; now < end; now += BEAT_MILLIS) {
+  /** Lets all entries send heartbeats over their links for this long. */
+  private void run(long millis) {
+    for (long end = now + millis; now < end; now += HEARTBEAT_MILLIS) {
       Map<String, Set<String>> links = links();
-      links.forEach((host, others) -> others.forEach(other -> beat(host, other)));
+      links.forEach((host, others) -> others.forEach(other -> sendHeartbeat(host, other)));
     }
   }
 
-  /** Both ends of each link that either end asks for. */
+  /** Returns the links that either end wants, listed at both ends. */
   private Map<String, Set<String>> links() {
     Map<String, Set<String>> links = new TreeMap<>();
     fleet.forEach(
@@ -75,8 +75,8 @@
     return fleet.containsKey(host) && !lost.contains(host);
   }
 
-  private void beat(String from, String to) {
-    beats++;
+  private void sendHeartbeat(String from, String to) {
+    heartbeats++;
     Entry sender = fleet.get(from);
     Entry receiver = fleet.get(to);
     receiver.roster.onHeard(sender.facts, now);
@@ -94,7 +94,7 @@
         .toList();
   }
 
-  private List<Integer> counts() {
+  private List<Integer> aliveCounts() {
     return fleet.keySet().stream()
         .filter(this::isUp)
         .map(host -> fleet.get(host).roster.countAlive(now))
@@ -102,101 +102,101 @@
   }
 
   @Test
-  void allHearOfAllAndTheLongestRunningLeads() {
+  void everyEntrySeesAllOthersAndLongestRunningLeads() {
     startFleet(42);
-    passes(3_000);
+    run(3_000);
 
-    assertThat(counts()).hasSize(42).containsOnly(41);
+    assertThat(aliveCounts()).hasSize(42).containsOnly(41);
     assertThat(leaders()).containsExactly(host(1));
   }
 
-  // An idle fleet of 42 entries sent 8,600 heartbeats a second, as all were linked with all, and
-  // that number grows with the square of the fleet.
+  // Guards against links between all entries, whose heartbeats grow with the square of the fleet:
+  // an idle fleet of 42 entries sent 8,600 heartbeats a second.
   @Test
-  void heartbeatsOfAnEntryDoNotGrowWithTheFleet() {
+  void heartbeatsPerEntryDoNotGrowWithFleetSize() {
     startFleet(42);
-    passes(3_000);
-    beats = 0;
-    passes(1_000);
-    int most = 2 * 42 * EntryRoster.RELAYS * 5;
+    run(3_000);
+    heartbeats = 0;
+    run(1_000);
+    int maximum = 2 * 42 * EntryRoster.RELAY_COUNT * 5;
 
-    assertThat(beats).isLessThanOrEqualTo(most);
+    assertThat(heartbeats).isLessThanOrEqualTo(maximum);
   }
 
   @Test
-  void lostEntryIsGoneForAllSoonAfter() {
+  void lostEntryIsDroppedByAllOthersAfterTimeout() {
     startFleet(42);
-    passes(3_000);
+    run(3_000);
     lost.add(host(20));
-    passes(EntryRoster.ALIVE_MILLIS + 2 * BEAT_MILLIS);
+    run(EntryRoster.ALIVE_MILLIS + 2 * HEARTBEAT_MILLIS);
 
-    assertThat(counts()).hasSize(41).containsOnly(40);
+    assertThat(aliveCounts()).hasSize(41).containsOnly(40);
   }
 
-  // Callers are told of one address in place of 38, and 38 entries take the lead at once. All
-  // relays
-  // are lost at the same moment, so nobody says any more that the others are there.
+  // Guards against entries that consider all others lost when all relays are lost at once, as no
+  // relay reports the others any more. Callers then got one address instead of 38, and 38 entries
+  // took the lead at once.
   @Test
-  void lossOfAllRelaysTakesNobodyElseForGone() {
+  void simultaneousLossOfAllRelaysKeepsOtherEntriesAlive() {
     startFleet(42);
-    passes(3_000);
-    IntStream.rangeClosed(1, EntryRoster.RELAYS).forEach(number -> lost.add(host(number)));
-    List<Integer> fewest = new ArrayList<>();
+    run(3_000);
+    IntStream.rangeClosed(1, EntryRoster.RELAY_COUNT).forEach(number -> lost.add(host(number)));
+    List<Integer> observedCounts = new ArrayList<>();
     for (long end = now + 6_000; now < end; ) {
-      passes(BEAT_MILLIS);
-      fewest.addAll(counts());
+      run(HEARTBEAT_MILLIS);
+      observedCounts.addAll(aliveCounts());
       assertThat(leaders()).hasSizeLessThanOrEqualTo(1);
     }
 
-    assertThat(fewest).allMatch(count -> count >= 37);
-    assertThat(counts()).containsOnly(37);
-    assertThat(leaders()).containsExactly(host(EntryRoster.RELAYS + 1));
+    assertThat(observedCounts).allMatch(count -> count >= 37);
+    assertThat(aliveCounts()).containsOnly(37);
+    assertThat(leaders()).containsExactly(host(EntryRoster.RELAY_COUNT + 1));
   }
 
   @Test
-  void lossOfAThirdOfTheFleetLeavesOneLeader() {
+  void lossOfThirdOfFleetLeavesOneLeader() {
     startFleet(42);
-    passes(3_000);
+    run(3_000);
     IntStream.rangeClosed(1, 14).forEach(number -> lost.add(host(number)));
-    passes(8_000);
+    run(8_000);
 
-    assertThat(counts()).hasSize(28).containsOnly(27);
+    assertThat(aliveCounts()).hasSize(28).containsOnly(27);
     assertThat(leaders()).containsExactly(host(15));
   }
 
-  // Maps stand still for a second more each time. An entry that is lost and comes back takes the
-  // lead again, although another has just taken over what it did.
+  // Guards against a restarted entry that takes the lead back although another entry has just taken
+  // over. Each change of lead stops map updates for another second.
   @Test
-  void entryThatIsBackDoesNotTakeTheLead() {
+  void restartedEntryDoesNotTakeLead() {
     startFleet(7);
-    passes(3_000);
+    run(3_000);
     lost.add(host(1));
-    passes(2_000);
+    run(2_000);
     lost.remove(host(1));
     start(1, 1_000, List.of(host(5), host(6), host(7)));
-    passes(3_000);
+    run(3_000);
 
-    assertThat(counts()).containsOnly(6);
+    assertThat(aliveCounts()).containsOnly(6);
     assertThat(leaders()).containsExactly(host(2));
   }
 
   @Test
-  void entryThatOnlyTheStoreNamesIsFound() {
+  void entryNamedOnlyByStoreIsFound() {
     startFleet(10);
-    passes(3_000);
+    run(3_000);
     start(11, 11, List.of());
     fleet.get(host(5)).roster.onNamed(host(11), now);
-    passes(3_000);
+    run(3_000);
 
-    assertThat(counts()).hasSize(11).containsOnly(10);
+    assertThat(aliveCounts()).hasSize(11).containsOnly(10);
   }
 
   @Test
-  void entryThatNobodyAnswersLeadsInTheEnd() {
+  void lastRemainingEntryTakesLead() {
     startFleet(7);
-    passes(3_000);
+    run(3_000);
     IntStream.rangeClosed(1, 6).forEach(number -> lost.add(host(number)));
-    passes(4_000);
+    run(4_000);
 
     assertThat(leaders()).containsExactly(host(7));
   }
