--- a/core/src/main/java/dev/ibishub/core/entries/LargestSeen.java
+++ b/core/src/main/java/dev/ibishub/core/entries/LargestSeen.java
@@ -4,7 +4,7 @@
 import java.util.Deque;
 
 /**
- * The largest of the numbers seen within a time. Thread-safe by one lock.
+ * The maximum of the numbers seen within a sliding window of time. Thread-safe by one lock.
  *
  * <pre>{@code
  * LargestSeen entries = new LargestSeen(100_000);
@@ -14,33 +14,35 @@
  * }</pre>
  */
 public final class LargestSeen {
-  private final long millis;
-  private final Deque<Seen> falling = new ArrayDeque<>();
+  private final long windowMillis;
+
+  /** The numbers that may still become the maximum: older ones first, each larger than the next. */
+  private final Deque<Seen> descending = new ArrayDeque<>();
 
   private record Seen(int number, long at) {}
 
   /**
-   * Creates one that has seen nothing.
+   * Creates an instance that has seen no number.
    *
-   * @param millis how long a number counts, milliseconds
+   * @param windowMillis length of the window, milliseconds
    */
-  public LargestSeen(long millis) {
-    this.millis = millis;
+  public LargestSeen(long windowMillis) {
+    this.windowMillis = windowMillis;
   }
 
-  /** Takes in a number. */
+  /** Adds a number, and evicts those that have left the window. */
   public synchronized void onSeen(int number, long now) {
-    while (!falling.isEmpty() && falling.peekLast().number() <= number) {
-      falling.removeLast();
+    while (!descending.isEmpty() && descending.peekLast().number() <= number) {
+      descending.removeLast();
     }
-    falling.addLast(new Seen(number, now));
-    while (falling.peekFirst().at() <= now - millis) {
-      falling.removeFirst();
+    descending.addLast(new Seen(number, now));
+    while (descending.peekFirst().at() <= now - windowMillis) {
+      descending.removeFirst();
     }
   }
 
-  /** Returns the largest number, 0 where none was seen. */
+  /** Returns the maximum as of the last {@link #onSeen}; 0 if no number was seen. */
   public synchronized int largest() {
-    return falling.isEmpty() ? 0 : falling.peekFirst().number();
+    return descending.isEmpty() ? 0 : descending.peekFirst().number();
   }
 }
--- a/core/src/test/java/dev/ibishub/core/entries/LargestSeenTest.java
+++ b/core/src/test/java/dev/ibishub/core/entries/LargestSeenTest.java
@@ -8,12 +8,12 @@
   private final LargestSeen seen = new LargestSeen(100);
 
   @Test
-  void nothingSeenIsNone() {
+  void returnsZeroIfNothingWasSeen() {
     assertThat(seen.largest()).isZero();
   }
 
   @Test
-  void largerNumberCountsUntilItsTimeIsOver() {
+  void returnsLargerNumberUntilItLeavesWindow() {
     seen.onSeen(7, 0);
     seen.onSeen(4, 50);
     seen.onSeen(5, 99);
