--- a/core/src/main/java/dev/ibishub/core/serving/CrashBlame.java
+++ b/core/src/main/java/dev/ibishub/core/serving/CrashBlame.java
@@ -9,106 +9,113 @@
 import java.util.Map;
 
 /**
- * Finds requests that crash the targets which run them, by what ran where when targets crashed.
- * Thread-safe by one lock.
+ * Identifies requests that crash their targets, from which requests ran on the targets that
+ * crashed, and quarantines them. Thread-safe by one lock.
  *
- * <p>Such a request comes again, and each time a group of ranks stands still for seconds. All that
- * ran at a crashed target is suspected. Most of it is innocent, but hardly any of that is, sent
- * again, at the next target that crashes too, so the second crash decides: the request is
- * quarantined. A request that completes is cleared.
+ * <p>Callers and retries send such a request again, and each crash stops a group of ranks for
+ * seconds. Every request that ran on a crashed target is suspected. Most of them are innocent, but
+ * an innocent one is very unlikely to run on a second target that crashes. Two successive crashes
+ * therefore quarantine a request. A request that completes is no longer suspected.
  *
  * <pre>{@code
  * blame.onBroken(run);                     // its connection broke
  * blame.onCrashed(run.targetLife());       // the target turns out to have crashed
- * blame.isQuarantined(run.request(), now); // after a second time: true
+ * blame.isQuarantined(run.request(), now); // after a second crash: true
  * }</pre>
  */
 public final class CrashBlame {
-  /** Crashes, one after the other, after which a request is quarantined. */
-  public static final int DECIDING_CRASHES = 2;
+  /** Successive crashes after which a request is quarantined. */
+  public static final int QUARANTINE_CRASH_COUNT = 2;
 
   /**
    * How long the first quarantine lasts, milliseconds. A request that was quarantined wrongly is
-   * served again after this; one that crashes a target once more waits {@link #GROWTH} times longer
-   * each time.
+   * served again after this time. Each further crash makes the quarantine {@link
+   * #QUARANTINE_GROWTH_FACTOR} times as long.
    */
-  static final long QUARANTINE_MILLIS = 300_000;
+  static final long FIRST_QUARANTINE_MILLIS = 300_000;
 
-  private static final long GROWTH = 10;
+  private static final long QUARANTINE_GROWTH_FACTOR = 10;
 
-  /** How long crashes count that led to no quarantine, milliseconds. */
+  /** How long crashes that have not led to a quarantine count against a request, milliseconds. */
   static final long SUSPICION_MILLIS = 120_000;
 
   /**
-   * How long after a run broke off its target may turn out to have crashed, milliseconds: a target
-   * that is back announces itself within some seconds.
+   * How long after a broken run a crash of its target can still be reported, milliseconds. A target
+   * that restarts announces itself within some seconds.
    */
-  static final long UNDECIDED_MILLIS = 15_000;
+  static final long UNCONFIRMED_MILLIS = 15_000;
 
   /**
-   * Runs that overlap by no more than this still count as one after the other, milliseconds: runs
-   * that other entries tell of are dated later than they were by the time that the message took.
+   * Overlap up to which two runs still count as successive, milliseconds. Runs reported by other
+   * entries are dated too late by the transit time of the message.
    */
-  static final long OVERLAP_MILLIS = 250;
+  static final long OVERLAP_TOLERANCE_MILLIS = 250;
 
-  /** Requests, broken runs and ended lives that are kept of each; beyond it the oldest go. */
-  static final int MOST_KEPT = 2_048;
+  /**
+   * Maximum number of suspected requests, of unconfirmed runs and of crashed incarnations that are
+   * kept, each; beyond it the oldest are evicted.
+   */
+  static final int MAXIMUM_KEPT = 2_048;
+
+  /** Broken runs whose targets are not known to have crashed, in order of arrival. */
+  private final Deque<CrashedRun> unconfirmed = new ArrayDeque<>();
 
-  private final Deque<CrashedRun> undecided = new ArrayDeque<>();
-  private final Map<String, Boolean> crashedLives = new OldestLeaves<>();
-  private final Map<RequestIdentity, List<CrashedRun>> suspects = new OldestLeaves<>();
+  private final Map<String, Boolean> crashedLives = new BoundedMap<>();
+  private final Map<RequestIdentity, List<CrashedRun>> suspects = new BoundedMap<>();
 
-  private static final class OldestLeaves<K, V> extends LinkedHashMap<K, V> {
+  /** A map that evicts its oldest entry once it exceeds {@link #MAXIMUM_KEPT}. */
+  private static final class BoundedMap<K, V> extends LinkedHashMap<K, V> {
     private static final long serialVersionUID = 1;
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
-      return size() > MOST_KEPT;
+      return size() > MAXIMUM_KEPT;
     }
   }
 
   /**
-   * Notes a run that broke off.
+   * Records a run whose connection broke.
    *
-   * @return the run, where its target is known to have crashed, so that others can be told; else
-   *     empty
+   * @return the run, to report to the other entries, if its target is known to have crashed and the
+   *     run was not known; otherwise empty
    */
   public synchronized List<CrashedRun> onBroken(CrashedRun run) {
     if (crashedLives.containsKey(run.targetLife())) {
       return add(run) ? List.of(run) : List.of();
     }
-    undecided.removeIf(other -> run.brokenAt() - other.brokenAt() > UNDECIDED_MILLIS);
-    undecided.addLast(run);
-    if (undecided.size() > MOST_KEPT) {
-      undecided.removeFirst();
+    unconfirmed.removeIf(other -> run.brokenAt() - other.brokenAt() > UNCONFIRMED_MILLIS);
+    unconfirmed.addLast(run);
+    if (unconfirmed.size() > MAXIMUM_KEPT) {
+      unconfirmed.removeFirst();
     }
     return List.of();
   }
 
   /**
-   * Notes that a target crashed.
+   * Records that a target crashed.
    *
-   * @return what ran there and broke off, so that others can be told
+   * @param targetLife the target incarnation that ended
+   * @return the broken runs of that incarnation, to report to the other entries
    */
   public synchronized List<CrashedRun> onCrashed(String targetLife) {
     crashedLives.put(targetLife, true);
     List<CrashedRun> ranThere =
-        undecided.stream().filter(run -> run.targetLife().equals(targetLife)).toList();
-    undecided.removeAll(ranThere);
+        unconfirmed.stream().filter(run -> run.targetLife().equals(targetLife)).toList();
+    unconfirmed.removeAll(ranThere);
     return ranThere.stream().filter(this::add).toList();
   }
 
   /**
-   * Takes in a crashed run that another entry noted.
+   * Records a crashed run that another entry reported.
    *
-   * @return whether it was news
+   * @return whether it was not known yet
    */
   public synchronized boolean onTold(CrashedRun run) {
     return add(run);
   }
 
   /**
-   * Clears a request that a target answered.
+   * Clears a request that a target has answered.
    *
    * @return whether it was suspected
    */
@@ -121,23 +128,25 @@
     return !suspects.isEmpty();
   }
 
-  /** Whether a request must be sent to no target. */
+  /** Whether a request is quarantined, so that it must not be sent to any target. */
   public synchronized boolean isQuarantined(RequestIdentity request, long now) {
     List<CrashedRun> runs = suspects.getOrDefault(request, List.of());
-    int crashes = inARow(runs);
-    if (crashes < DECIDING_CRASHES) {
+    int crashes = successiveCrashes(runs);
+    if (crashes < QUARANTINE_CRASH_COUNT) {
       return false;
     }
-    long length = QUARANTINE_MILLIS * (long) Math.pow(GROWTH, crashes - DECIDING_CRASHES);
+    long length =
+        FIRST_QUARANTINE_MILLIS
+            * (long) Math.pow(QUARANTINE_GROWTH_FACTOR, crashes - QUARANTINE_CRASH_COUNT);
     return now - lastBrokenAt(runs) < length;
   }
 
-  /** Returns how many crashes, one after the other, a request is suspected of. */
+  /** Returns the number of successive crashes that a request is suspected of. */
   public synchronized int crashes(RequestIdentity request) {
-    return inARow(suspects.getOrDefault(request, List.of()));
+    return successiveCrashes(suspects.getOrDefault(request, List.of()));
   }
 
-  /** Returns all that is held against any request, to tell an entry that has just started. */
+  /** Returns the crashed runs of all suspected requests, to send to an entry that has started. */
   public synchronized List<CrashedRun> all() {
     return suspects.values().stream().flatMap(List::stream).toList();
   }
@@ -147,7 +156,7 @@
     if (known.stream().anyMatch(other -> other.targetLife().equals(run.targetLife()))) {
       return false;
     }
-    if (inARow(known) < DECIDING_CRASHES) {
+    if (successiveCrashes(known) < QUARANTINE_CRASH_COUNT) {
       known.removeIf(other -> run.brokenAt() - other.brokenAt() > SUSPICION_MILLIS);
     }
     known.add(run);
@@ -156,15 +165,15 @@
   }
 
   /**
-   * Counts the crashes that came one after the other. Targets that fall at the same moment have one
-   * cause outside of the requests, or a request that ran at several of them; neither says more than
-   * one crash.
+   * Counts the crashes that followed one another. Targets that crash at the same time share one
+   * cause: something other than the requests, or one request that ran on several of them. They
+   * count as one crash.
    */
-  private static int inARow(List<CrashedRun> runs) {
+  private static int successiveCrashes(List<CrashedRun> runs) {
     int crashes = 0;
     long countedAt = 0;
     for (CrashedRun run : runs) {
-      if (crashes == 0 || run.sentAt() >= countedAt - OVERLAP_MILLIS) {
+      if (crashes == 0 || run.sentAt() >= countedAt - OVERLAP_TOLERANCE_MILLIS) {
         crashes++;
         countedAt = run.brokenAt();
       }
--- a/core/src/main/java/dev/ibishub/core/serving/RequestIdentity.java
+++ b/core/src/main/java/dev/ibishub/core/serving/RequestIdentity.java
@@ -8,35 +8,35 @@
 import java.util.Objects;
 
 /**
- * Tells whether two requests are the same one sent again, at whichever entry they come in. Holds a
- * digest only, so neither keys nor bodies are kept.
+ * A fingerprint by which a request that is sent again is recognized, also at another entry. It is a
+ * digest, so that neither caller keys nor bodies are kept.
  *
  * @param digest the digest in hexadecimal
  */
 public record RequestIdentity(String digest) {
   private static final int DIGEST_BYTES = 16;
 
-  /** Checks that there is a digest. */
+  /** Checks that the digest is given. */
   public RequestIdentity {
     Objects.requireNonNull(digest);
   }
 
   /**
-   * Makes the identity of a request.
+   * Returns the identity of a request.
    *
    * @param path the path with its query
-   * @param caller who sends it: the workspace, or what else tells callers apart
+   * @param caller the sender's workspace, or whatever else tells callers apart
    * @param body the whole body
    */
   public static RequestIdentity of(String path, String caller, byte[] body) {
     MessageDigest digest = sha256();
     addText(digest, path);
     addText(digest, caller);
-    byte[] whole = digest.digest(body);
-    return new RequestIdentity(HexFormat.of().formatHex(Arrays.copyOf(whole, DIGEST_BYTES)));
+    byte[] digestBytes = digest.digest(body);
+    return new RequestIdentity(HexFormat.of().formatHex(Arrays.copyOf(digestBytes, DIGEST_BYTES)));
   }
 
-  /** Adds a text and its end, so that no two pairs of texts give the same bytes. */
+  /** Adds a text and a terminator, so that no two pairs of texts add the same bytes. */
   private static void addText(MessageDigest digest, String text) {
     digest.update(text.getBytes(StandardCharsets.UTF_8));
     digest.update((byte) 0);
@@ -46,7 +46,7 @@
     try {
       return MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("each JDK has SHA-256", e);
+      throw new IllegalStateException("every Java runtime supports SHA-256", e);
     }
   }
 }
--- a/core/src/test/java/dev/ibishub/core/serving/CrashBlameTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/CrashBlameTest.java
@@ -22,15 +22,15 @@
   }
 
   @Test
-  void sameRequestOfAnotherCallerIsAnother() {
+  void identityDependsOnBodyAndSeparatesPathFromCaller() {
     assertThat(identity("a")).isEqualTo(identity("a")).isNotEqualTo(identity("b"));
     assertThat(RequestIdentity.of("/a", "b", new byte[0]))
         .isNotEqualTo(RequestIdentity.of("/a/b", "", new byte[0]));
   }
 
-  // Guards against a request that crashes one target after the other and is sent on for ever.
+  // Guards against a request that crashes one target after another and is sent on forever.
   @Test
-  void secondCrashInARowQuarantines() {
+  void secondSuccessiveCrashQuarantinesRequest() {
     crash(GUILTY, "a", 0, 10);
     assertThat(blame.isQuarantined(GUILTY, 20)).isFalse();
 
@@ -39,16 +39,16 @@
   }
 
   @Test
-  void brokenConnectionToATargetThatLivesIsNoCrash() {
+  void brokenRunOnLiveTargetDoesNotCountAsCrash() {
     blame.onBroken(new CrashedRun(GUILTY, "a", 0, 10));
     blame.onBroken(new CrashedRun(GUILTY, "b", 20, 30));
 
     assertThat(blame.crashes(GUILTY)).isZero();
   }
 
-  // Guards against innocent requests that are refused because many targets lost power at once.
+  // Guards against quarantines of innocent requests after many targets have lost power at once.
   @Test
-  void targetsThatFallTogetherCountOnce() {
+  void simultaneousCrashesCountOnce() {
     crash(INNOCENT, "a", 0, 1_000);
     crash(INNOCENT, "b", 500, 1_001);
     crash(INNOCENT, "c", 600, 1_002);
@@ -57,10 +57,10 @@
     assertThat(blame.isQuarantined(INNOCENT, 2_000)).isFalse();
   }
 
-  // Guards against a quarantine that holds at one entry only: the others date the first crash later
-  // than it was, as the message that told them of it was slow.
+  // Guards against a quarantine that takes effect at one entry only. The other entries date the
+  // first crash too late by the transit time of its report, so that the runs seem to overlap.
   @Test
-  void crashThatWasToldLateComesBeforeTheNextRunAllTheSame() {
+  void runThatOverlapsWithinToleranceCountsAsSuccessive() {
     blame.onTold(new CrashedRun(GUILTY, "a", 90, 110));
     blame.onTold(new CrashedRun(GUILTY, "b", 60, 115));
 
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void requestThatIsAnsweredIsCleared() {
+  void answeredRequestIsCleared() {
     crash(INNOCENT, "a", 0, 10);
 
     assertThat(blame.onCompleted(INNOCENT)).isTrue();
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void crashThatShowsBeforeTheBrokenRunCountsToo() {
+  void crashKnownBeforeBrokenRunCounts() {
     blame.onCrashed("a");
 
     assertThat(blame.onBroken(new CrashedRun(GUILTY, "a", 0, 10))).hasSize(1);
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void crashThatTwoEntriesTellCountsOnce() {
+  void crashReportedByTwoEntriesCountsOnce() {
     crash(GUILTY, "a", 0, 10);
 
     assertThat(blame.onTold(new CrashedRun(GUILTY, "a", 1, 11))).isFalse();
@@ -93,26 +93,27 @@
     assertThat(blame.isQuarantined(GUILTY, 40)).isTrue();
   }
 
-  // Guards against a caller whose request is refused for good after two crashes it did not cause,
-  // and against one that crashes a target each time that it is tried again.
+  // Guards against a request that is refused forever after two crashes that it did not cause, and
+  // against one that crashes a target each time its quarantine ends.
   @Test
-  void quarantineEndsAndGrowsWithEachFurtherCrash() {
+  void quarantineEndsAndIsLongerAfterFurtherCrash() {
     crash(GUILTY, "a", 0, 10);
     crash(GUILTY, "b", 20, 30);
-    long free = 30 + CrashBlame.QUARANTINE_MILLIS;
-    assertThat(blame.isQuarantined(GUILTY, free - 1)).isTrue();
-    assertThat(blame.isQuarantined(GUILTY, free)).isFalse();
+    long endsAt = 30 + CrashBlame.FIRST_QUARANTINE_MILLIS;
+    assertThat(blame.isQuarantined(GUILTY, endsAt - 1)).isTrue();
+    assertThat(blame.isQuarantined(GUILTY, endsAt)).isFalse();
 
-    crash(GUILTY, "c", free, free + 10);
-    assertThat(blame.isQuarantined(GUILTY, free + 2 * CrashBlame.QUARANTINE_MILLIS)).isTrue();
+    crash(GUILTY, "c", endsAt, endsAt + 10);
+    assertThat(blame.isQuarantined(GUILTY, endsAt + 2 * CrashBlame.FIRST_QUARANTINE_MILLIS))
+        .isTrue();
   }
 
-  // Guards against memory that grows with each request that broke off.
+  // Guards against memory use that grows with each broken run.
   @Test
-  void whatIsKeptIsBounded() {
-    IntStream.range(0, 2 * CrashBlame.MOST_KEPT)
+  void numberOfSuspectsIsBounded() {
+    IntStream.range(0, 2 * CrashBlame.MAXIMUM_KEPT)
         .forEach(number -> crash(identity("body " + number), "life " + number, number, number + 1));
 
-    assertThat(blame.all()).hasSize(CrashBlame.MOST_KEPT);
+    assertThat(blame.all()).hasSize(CrashBlame.MAXIMUM_KEPT);
   }
 }
