--- a/core/src/main/java/dev/ibishub/core/serving/RetryLimits.java
+++ b/core/src/main/java/dev/ibishub/core/serving/RetryLimits.java
@@ -1,10 +1,10 @@
 package dev.ibishub.core.serving;
 
 /**
- * How much may be retried.
+ * The limits of a {@link SharedRetryBudget}.
  *
- * @param retriesPerRequest retries that each request earns, 0 to 1
- * @param sharedAllowance retries in a window that all entries together have besides
+ * @param retriesPerRequest retries allowed for each request, 0 to 1
+ * @param sharedAllowance further retries in each window, for all entries together
  * @param windowMillis length of the sliding window, milliseconds
  */
 public record RetryLimits(double retriesPerRequest, double sharedAllowance, long windowMillis) {
--- a/core/src/main/java/dev/ibishub/core/serving/SharedRetryBudget.java
+++ b/core/src/main/java/dev/ibishub/core/serving/SharedRetryBudget.java
@@ -5,55 +5,58 @@
 import java.util.function.Supplier;
 
 /**
- * This entry's part of a retry budget that all entries share: in any window, retries stay below a
- * share of the requests plus a fixed allowance that the entries divide among themselves.
+ * This entry's part of a retry budget that all entries share: in any window, all retries together
+ * stay below a share of the requests plus a fixed allowance, which the entries divide evenly. Used
+ * on the platform of the users; ibishub's own interface has {@link dev.ibishub.core.RetryBudget}.
  * Thread-safe by one lock.
  *
- * <p>Each entry counts its own requests only, so the sum over all entries stays within the budget
- * without any message, as long as each spends only what is its own for certain. An entry that has
- * just started has no part of the allowance, which its earlier life may have spent; and entries
- * that are gone keep their parts for a while, see {@link #tryRetry}.
+ * <p>The budget holds without any messages between entries: each counts only its own requests and
+ * spends only its own part of the allowance. An entry that has just started has no part yet, as the
+ * process that ran in its place before may have spent it. Entries that disappear keep their parts
+ * for a while, see {@link #tryRetry}.
  */
 public final class SharedRetryBudget {
   /**
-   * The part of the allowance that is used. The rest covers windows whose ends lie elsewhere than
-   * the ends of those in which this entry counts.
+   * The share of the allowance that is used. The rest is a margin for windows that begin and end at
+   * other times than the windows in which this entry counts.
    */
-  private static final double USED_PART = 0.75;
+  private static final double USED_ALLOWANCE_SHARE = 0.75;
 
   private final Supplier<RetryLimits> limits;
-  private final long sharesFrom;
+  private final long allowanceFrom;
   private final Deque<Long> requests = new ArrayDeque<>();
   private final Deque<Long> retries = new ArrayDeque<>();
 
   /**
    * Creates a budget.
    *
-   * @param limits the limits in force; they may change, and what was counted stays counted
-   * @param sharesFrom from when this entry has a part of the allowance, milliseconds; a window
-   *     after it started, unless it has had no earlier life
+   * @param limits the limits in force; they may change, and earlier requests and retries still
+   *     count then
+   * @param allowanceFrom from when this entry has a part of the allowance, milliseconds: one window
+   *     after it started, or at once if no process ran in its place before
    */
-  public SharedRetryBudget(Supplier<RetryLimits> limits, long sharesFrom) {
+  public SharedRetryBudget(Supplier<RetryLimits> limits, long allowanceFrom) {
     this.limits = limits;
-    this.sharesFrom = sharesFrom;
+    this.allowanceFrom = allowanceFrom;
   }
 
   /** Counts a request's first attempt. */
   public synchronized void onRequest(long now) {
-    forget(now);
+    evictExpired(now);
     requests.addLast(now);
   }
 
   /**
-   * Takes one retry.
+   * Spends one retry if the budget allows it.
    *
-   * @param now the current time
-   * @param entries how many entries may have spent of the allowance in this window, 1 or more; the
-   *     largest number seen for some windows, as one that is not seen any more may be cut off
-   * @return false when the budget is used up
+   * @param now the current time, milliseconds
+   * @param entries how many entries may have used the allowance in this window, 1 or more. This is
+   *     the largest number seen over several windows, as an entry that is no longer seen may only
+   *     be cut off.
+   * @return false if the budget is used up
    */
   public synchronized boolean tryRetry(long now, int entries) {
-    forget(now);
+    evictExpired(now);
     if (retries.size() + 1 > allowed(now, entries)) {
       return false;
     }
@@ -64,16 +67,18 @@
   private double allowed(long now, int entries) {
     RetryLimits inForce = limits.get();
     double ownPart =
-        now < sharesFrom ? 0 : USED_PART * inForce.sharedAllowance() / Math.max(1, entries);
+        now < allowanceFrom
+            ? 0
+            : USED_ALLOWANCE_SHARE * inForce.sharedAllowance() / Math.max(1, entries);
     return inForce.retriesPerRequest() * requests.size() + ownPart;
   }
 
-  private void forget(long now) {
-    forget(requests, now);
-    forget(retries, now);
+  private void evictExpired(long now) {
+    evictExpired(requests, now);
+    evictExpired(retries, now);
   }
 
-  private void forget(Deque<Long> times, long now) {
+  private void evictExpired(Deque<Long> times, long now) {
     while (!times.isEmpty() && times.peekFirst() <= now - limits.get().windowMillis()) {
       times.removeFirst();
     }
--- a/core/src/test/java/dev/ibishub/core/serving/SharedRetryBudgetTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/SharedRetryBudgetTest.java
@@ -9,17 +9,17 @@
 import org.junit.jupiter.api.Test;
 
 final class SharedRetryBudgetTest {
-  private static final long WINDOW = 10_000;
+  private static final long WINDOW_MILLIS = 10_000;
 
   private static SharedRetryBudget budget(double retriesPerRequest, double sharedAllowance) {
-    RetryLimits limits = new RetryLimits(retriesPerRequest, sharedAllowance, WINDOW);
+    RetryLimits limits = new RetryLimits(retriesPerRequest, sharedAllowance, WINDOW_MILLIS);
     return new SharedRetryBudget(() -> limits, 0);
   }
 
-  // A service that fails is buried under retries. Each entry kept within a budget of its own, but
-  // seven of them together sent seven times as many. Cause: an allowance that was not divided.
+  // Guards against an allowance that is not divided among the entries: each of seven kept within
+  // its own budget, but together they sent seven times as many retries to a failing service.
   @Test
-  void retriesOfAllEntriesTogetherStayWithinTheBudgetInAnyWindow() {
+  void retriesOfAllEntriesStayWithinBudgetInAnyWindow() {
     int entries = 7;
     Random random = new Random(3);
     List<SharedRetryBudget> budgets =
@@ -40,35 +40,36 @@
     for (long from = 0; from < 50_000; from += 500) {
       assertThat(within(retries, from))
           .as("retries from %d", from)
-          .isLessThanOrEqualTo(0.2 * within(requests, from - WINDOW, 2 * WINDOW) + 90);
+          .isLessThanOrEqualTo(
+              0.2 * within(requests, from - WINDOW_MILLIS, 2 * WINDOW_MILLIS) + 90);
     }
     assertThat(retries).hasSizeGreaterThan(100);
   }
 
   @Test
-  void usedRetriesComeBackAfterTheWindow() {
+  void spentRetriesAreAvailableAgainAfterWindow() {
     SharedRetryBudget budget = budget(0, 4);
     IntStream.range(0, 3).forEach(i -> assertThat(budget.tryRetry(0, 1)).isTrue());
 
     assertThat(budget.tryRetry(1, 1)).isFalse();
-    assertThat(budget.tryRetry(WINDOW, 1)).isTrue();
+    assertThat(budget.tryRetry(WINDOW_MILLIS, 1)).isTrue();
   }
 
-  // Guards against an allowance that is granted again to each life of an entry.
+  // Guards against an allowance that is granted again each time an entry restarts.
   @Test
-  void entryThatHasJustStartedHasNoPartOfTheAllowance() {
-    RetryLimits limits = new RetryLimits(0.5, 40, WINDOW);
-    SharedRetryBudget budget = new SharedRetryBudget(() -> limits, WINDOW);
-    assertThat(budget.tryRetry(WINDOW - 1, 1)).isFalse();
+  void entryHasNoPartOfAllowanceInFirstWindow() {
+    RetryLimits limits = new RetryLimits(0.5, 40, WINDOW_MILLIS);
+    SharedRetryBudget budget = new SharedRetryBudget(() -> limits, WINDOW_MILLIS);
+    assertThat(budget.tryRetry(WINDOW_MILLIS - 1, 1)).isFalse();
 
-    IntStream.range(0, 2).forEach(i -> budget.onRequest(WINDOW - 1));
-    assertThat(budget.tryRetry(WINDOW - 1, 1)).isTrue();
-    assertThat(budget.tryRetry(WINDOW - 1, 1)).isFalse();
-    assertThat(budget.tryRetry(WINDOW, 1)).isTrue();
+    IntStream.range(0, 2).forEach(i -> budget.onRequest(WINDOW_MILLIS - 1));
+    assertThat(budget.tryRetry(WINDOW_MILLIS - 1, 1)).isTrue();
+    assertThat(budget.tryRetry(WINDOW_MILLIS - 1, 1)).isFalse();
+    assertThat(budget.tryRetry(WINDOW_MILLIS, 1)).isTrue();
   }
 
   private static double within(List<Long> times, long from) {
-    return within(times, from, WINDOW);
+    return within(times, from, WINDOW_MILLIS);
   }
 
   private static double within(List<Long> times, long from, long length) {
