--- a/core/src/main/java/dev/ibishub/core/serving/AttemptOutcome.java
+++ b/core/src/main/java/dev/ibishub/core/serving/AttemptOutcome.java
@@ -1,16 +1,16 @@
 package dev.ibishub.core.serving;
 
-/** How one attempt at one target ended without a success. */
+/** The way in which an attempt at one target failed. */
 public enum AttemptOutcome {
-  /** No connection came about, so nothing was sent. */
+  /** No connection was established, so nothing was sent. */
   UNREACHABLE(false),
-  /** Another target answered at the address; the one that was meant is gone. */
+  /** Another target answered at the address; the intended one is no longer there. */
   MISDIRECTED(false),
-  /** The target itself said that it did not run the request. */
+  /** The target reported that it did not run the request. */
   REFUSED(false),
-  /** The target answered with a failure of its own; it ran. */
+  /** The target ran the request and answered with an error. */
   FAILED(true),
-  /** The connection ended, or the answer was unusable; it may have run. */
+  /** The connection ended or the answer was unusable; the request may have run. */
   BROKEN(true);
 
   private final boolean mayHaveRun;
@@ -19,6 +19,7 @@
     this.mayHaveRun = mayHaveRun;
   }
 
+  /** Whether the target may have run the request. */
   public boolean mayHaveRun() {
     return mayHaveRun;
   }
--- a/core/src/main/java/dev/ibishub/core/serving/RequestKind.java
+++ b/core/src/main/java/dev/ibishub/core/serving/RequestKind.java
@@ -1,14 +1,17 @@
 package dev.ibishub.core.serving;
 
-/** What may be done with a request whose first attempt failed. */
+/**
+ * How often a request may run, and whether its answer is a stream. Used on the platform of the
+ * users; ibishub's own interface has {@link dev.ibishub.core.Repeatability}.
+ */
 public enum RequestKind {
   /** May run any number of times. */
   IDEMPOTENT,
-  /** May run once at most. */
+  /** May run at most once. */
   ONCE,
-  /** A stream of events that runs once at most. */
+  /** A stream of events; may run at most once. */
   STREAM,
-  /** A stream of events that another target may go on with after the last event delivered. */
+  /** A stream of events that another target can resume after the last event delivered. */
   RESUMABLE_STREAM;
 
   /** Whether a request that may have run can be sent to another target. */
--- a/core/src/main/java/dev/ibishub/core/serving/RetryRule.java
+++ b/core/src/main/java/dev/ibishub/core/serving/RetryRule.java
@@ -1,32 +1,35 @@
 package dev.ibishub.core.serving;
 
 /**
- * Whether a request may be sent to another target after an attempt failed. Immutable.
+ * Decides whether and when a request is sent to another target after a failed attempt. Used on the
+ * platform of the users; ibishub's own interface has {@link dev.ibishub.core.RequestTracker}.
+ * Immutable.
  *
- * <p>The promise behind it: a request that may not be repeated runs once at most, and no request
- * runs at more targets than its route allows.
+ * <p>It guarantees that a request that may not be repeated runs at most once, and that no request
+ * runs on more targets than its route allows.
  *
- * @param kind what may be done with the request
- * @param maximumRuns the most targets at which it may have run
+ * @param kind how often the request may run
+ * @param maximumRuns maximum number of targets on which the request may have run, 1 or more
  */
 public record RetryRule(RequestKind kind, int maximumRuns) {
   /**
-   * Sends beyond the allowed runs that a request may use up on targets which refuse it or can't be
-   * reached. Such sends run nothing, but each is an arrival that the shared retry budget pays for.
+   * Additional sends that a request may spend on targets that refuse it or can't be reached. Such a
+   * send runs nothing, but the target still has to handle it, so it counts against the shared retry
+   * budget.
    */
   public static final int EXTRA_SENDS = 2;
 
   /**
-   * Pause before a third send, longer with each further one. A group of ranks that forms takes some
-   * 0.6 s in which all its ranks refuse; callers come back once at most, so a request that is only
-   * tried at once is lost where it could have been served late. Milliseconds.
+   * Delay before the third send, growing by the same amount with each further one, milliseconds. A
+   * group of ranks takes about 0.6 s to form, and all its ranks refuse meanwhile. Callers try again
+   * at most once, so immediate retries alone would lose a request that could be served late.
    */
-  static final long REFUSED_PAUSE_MILLIS = 250;
+  static final long REFUSED_RETRY_DELAY_MILLIS = 250;
 
-  /** Requests with less time than this are not kept waiting between sends. Milliseconds. */
-  static final long LEAST_LEFT_MILLIS = 3_000;
+  /** Requests with less time left than this are retried without delay, milliseconds. */
+  static final long MINIMUM_REMAINING_MILLIS = 3_000;
 
-  /** Checks that one run is allowed. */
+  /** Checks that at least one run is allowed. */
   public RetryRule {
     if (maximumRuns < 1) {
       throw new IllegalArgumentException("need maximumRuns >= 1, was " + maximumRuns);
@@ -34,12 +37,12 @@
   }
 
   /**
-   * Decides.
+   * Decides whether another attempt is allowed.
    *
    * @param outcome how the last attempt ended
    * @param runs attempts so far that may have run
    * @param sends all attempts so far
-   * @return whether one more attempt keeps the promise
+   * @return whether another attempt keeps within the allowed runs and sends
    */
   public boolean allowsAnother(AttemptOutcome outcome, int runs, int sends) {
     boolean mayRunAgain = runs == 0 || kind.isRepeatable();
@@ -47,15 +50,15 @@
   }
 
   /**
-   * Returns how long to wait before a request is sent again, milliseconds.
+   * Returns the delay before the next attempt, milliseconds; 0 for none.
    *
    * @param outcome how the last attempt ended
    * @param sends all attempts so far
    * @param leftMillis time until the request's deadline, milliseconds
    */
   public long pauseMillis(AttemptOutcome outcome, int sends, long leftMillis) {
-    boolean isPatient =
-        outcome == AttemptOutcome.REFUSED && sends > 1 && leftMillis >= LEAST_LEFT_MILLIS;
-    return isPatient ? REFUSED_PAUSE_MILLIS * (sends - 1) : 0;
+    boolean isDelayed =
+        outcome == AttemptOutcome.REFUSED && sends > 1 && leftMillis >= MINIMUM_REMAINING_MILLIS;
+    return isDelayed ? REFUSED_RETRY_DELAY_MILLIS * (sends - 1) : 0;
   }
 }
--- a/core/src/test/java/dev/ibishub/core/serving/RetryRuleTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/RetryRuleTest.java
@@ -7,13 +7,14 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 final class RetryRuleTest {
-  // A panelist's points are posted twice. The target ran the call and its answer was lost on the
-  // way; the entry took the closed connection for "not run" and sent the call to another target.
+  // Guards against a call that runs twice, such as one that credits a panelist's points. The target
+  // ran the call but its answer was lost; the entry took the closed connection for "not run" and
+  // sent the call to another target.
   @ParameterizedTest
   @EnumSource(
       value = AttemptOutcome.class,
       names = {"FAILED", "BROKEN"})
-  void callThatMayRunOnceIsNotSentAgainOnceItMayHaveRun(AttemptOutcome outcome) {
+  void callThatMayRunOnceIsNotSentAgainIfItMayHaveRun(AttemptOutcome outcome) {
     assertThat(new RetryRule(RequestKind.ONCE, 3).allowsAnother(outcome, 1, 1)).isFalse();
     assertThat(new RetryRule(RequestKind.STREAM, 3).allowsAnother(outcome, 1, 1)).isFalse();
   }
@@ -26,10 +27,11 @@
     assertThat(new RetryRule(RequestKind.ONCE, 1).allowsAnother(outcome, 0, 1)).isTrue();
   }
 
-  // Readers' requests end as refused a moment before the group that would have served them opens.
-  // All its ranks refused; the request was tried at four of them within a few milliseconds.
+  // Guards against requests that are refused just before the group that could serve them opens.
+  // All its ranks refuse until then, and a request without a delay between its attempts was tried
+  // at four of them within a few milliseconds.
   @Test
-  void refusedRequestWithTimeLeftIsSentAgainAfterAPause() {
+  void refusedRequestWithTimeLeftIsRetriedAfterDelay() {
     RetryRule rule = new RetryRule(RequestKind.RESUMABLE_STREAM, 2);
 
     assertThat(rule.pauseMillis(AttemptOutcome.REFUSED, 1, 8_000)).isZero();
@@ -40,7 +42,7 @@
   }
 
   @Test
-  void requestRunsAtNoMoreTargetsThanItsRouteAllows() {
+  void requestRunsOnNoMoreTargetsThanItsRouteAllows() {
     RetryRule rule = new RetryRule(RequestKind.IDEMPOTENT, 2);
 
     assertThat(rule.allowsAnother(AttemptOutcome.BROKEN, 1, 1)).isTrue();
@@ -48,7 +50,7 @@
   }
 
   @Test
-  void refusalsEndAfterAFewTargets() {
+  void refusedRequestIsNotSentAgainAfterExtraSends() {
     RetryRule rule = new RetryRule(RequestKind.ONCE, 1);
 
     assertThat(rule.allowsAnother(AttemptOutcome.REFUSED, 0, 2)).isTrue();
