--- a/core/src/main/java/dev/ibishub/core/serving/GroupOpenness.java
+++ b/core/src/main/java/dev/ibishub/core/serving/GroupOpenness.java
@@ -1,38 +1,40 @@
 package dev.ibishub.core.serving;
 
 /**
- * Whether a group of ranks takes requests, by the newest word of any of them. Thread-safe by one
- * lock.
+ * Whether a group of ranks accepts requests, according to the latest report of any of its ranks.
+ * Thread-safe by one lock.
  *
- * <p>All ranks of a group open and break at the same moment, but tell it up to a report's period
- * apart. By each rank's own word alone, all that waited for the group went to the first few that
- * said it was open: up to 15 requests at one of 12 ranks that run 8, with 7 at others, and callers
- * who waited there left after 2 s without a piece.
+ * <p>All ranks of a group open and break at the same moment, but report it up to one report period
+ * apart. If each rank were judged by its own report alone, all requests that wait for the group
+ * would go to the first few ranks that report it open: up to 15 requests went to one of 12 ranks
+ * that run 8 at once, against 7 at others, and callers waiting there left after 2 s without any
+ * output.
  */
 public final class GroupOpenness {
   private long epoch = Long.MIN_VALUE;
-  private long saidAt = Long.MIN_VALUE / 2;
+  private long reportedAt = Long.MIN_VALUE / 2;
   private boolean isOpen;
 
   /**
-   * Takes a rank's word.
+   * Records a report of one rank. Reports of an earlier epoch, and older reports of the same epoch,
+   * are ignored.
    *
-   * @param wordEpoch the group's epoch that it names; grows as the group forms anew
-   * @param saysOpen whether the rank takes requests
-   * @param at when it said so, milliseconds
+   * @param reportEpoch the group's epoch in the report; it grows each time the group forms again
+   * @param reportsOpen whether the rank accepts requests
+   * @param at when the rank reported it, milliseconds
    */
-  public synchronized void onWord(long wordEpoch, boolean saysOpen, long at) {
-    if (wordEpoch < epoch || (wordEpoch == epoch && at < saidAt)) {
+  public synchronized void onWord(long reportEpoch, boolean reportsOpen, long at) {
+    if (reportEpoch < epoch || (reportEpoch == epoch && at < reportedAt)) {
       return;
     }
-    epoch = wordEpoch;
-    saidAt = at;
-    isOpen = saysOpen;
+    epoch = reportEpoch;
+    reportedAt = at;
+    isOpen = reportsOpen;
   }
 
-  /** Whether any rank's word is recent enough to count. */
-  synchronized boolean isKnown(long now) {
-    return now - saidAt <= TargetLoad.REPORT_MILLIS;
+  /** Whether the latest report of any rank is recent enough to count. */
+  synchronized boolean hasRecentReport(long now) {
+    return now - reportedAt <= TargetLoad.MAXIMUM_REPORT_AGE_MILLIS;
   }
 
   synchronized boolean isOpen() {
--- a/core/src/main/java/dev/ibishub/core/serving/TargetChoice.java
+++ b/core/src/main/java/dev/ibishub/core/serving/TargetChoice.java
@@ -7,39 +7,43 @@
 import java.util.Set;
 
 /**
- * Chooses the target of a request: the one with the least work. Ranks of a group step together, so
- * a pass lasts as long as that of the most loaded rank; every request that is placed evenly
- * shortens the pauses of all streams. Immutable.
+ * Chooses the least loaded target for a request. Used on the platform of the users; ibishub's own
+ * interface has {@link dev.ibishub.core.Router}. Immutable.
+ *
+ * <p>The ranks of a group step together, so a pass takes as long as the most loaded rank needs. An
+ * even spread of requests shortens the pauses of all streams.
  *
  * @param entries how many entries send to the same targets
- * @param maximumRequests requests at which a target counts as full
+ * @param maximumRequests number of requests from which a target counts as full
  */
 public record TargetChoice(int entries, double maximumRequests) {
-  /** A request at a target in another failure domain costs this many requests more. */
-  private static final double OTHER_ZONE_COSTS = 0.2;
+  /** Cost of choosing a target in another failure domain, in requests. */
+  private static final double OTHER_ZONE_COST = 0.2;
 
   /**
-   * Targets within this many requests of the least are as good. Reports are up to 100 ms old, and
-   * entries that all take the very least would meet at the same target: in a burst of 112 requests
-   * from 7 entries to 16 targets the fullest got 11 by the very least and 8 by this
-   * (TargetChoiceTest).
+   * Targets whose cost is less than this above the lowest count as equal, in requests. Reports are
+   * up to 100 ms old, and entries that all took the very lowest would choose the same target: in a
+   * burst of 112 requests from 7 entries to 16 targets, the fullest target got 11 requests without
+   * this tolerance and 8 with it.
    */
-  private static final double AS_GOOD = 1.1;
+  private static final double TIE_TOLERANCE = 1.1;
 
   /**
    * A target that may be chosen.
    *
-   * @param id its id
-   * @param sameZone whether it lies in this entry's failure domain
-   * @param load what is believed of it
+   * @param id the target's id
+   * @param sameZone whether it is in this entry's failure domain
+   * @param load its estimated load
    */
   public record Candidate(String id, boolean sameZone, TargetLoad load) {}
 
   /**
-   * Whether none of a service's targets can run anything now. When one rank of a group ends, the
-   * others say that they are closed and the one that ended says nothing; asking it is in vain.
+   * Whether none of a service's targets can run a request now: at least one reports that it is
+   * closed and none that it is open. When one rank of a group ends, the others report that they are
+   * closed, while the ended one reports nothing and must not be chosen for that.
    *
-   * @param loads what is believed of all targets of the service
+   * @param loads the loads of all targets of the service
+   * @param now the current time, milliseconds
    */
   public static boolean areClosed(Collection<TargetLoad> loads, long now) {
     return loads.stream().anyMatch(load -> load.isClosed(now))
@@ -47,10 +51,11 @@
   }
 
   /**
-   * Whether a group that is closed is about to open: all its ranks are there and say that they are
-   * closed. It then takes some 0.6 s more; without this or that rank it may take any time.
+   * Whether a closed group is about to open: all its ranks report, and report that they are closed.
+   * The group then opens after about 0.6 s more. While a rank is missing it may take any time.
    *
-   * @param loads what is believed of all targets of the service
+   * @param loads the loads of all targets of the service
+   * @param now the current time, milliseconds
    */
   public static boolean areForming(Collection<TargetLoad> loads, long now) {
     return !loads.isEmpty()
@@ -58,25 +63,27 @@
   }
 
   /**
-   * Returns how long it takes until one of a service's targets has rested, milliseconds; empty
-   * while one of them does not rest.
+   * Returns the time until the first of a service's targets ends the back-off that it requested,
+   * milliseconds; empty if any target is not in a back-off.
    *
-   * @param loads what is believed of all targets of the service
+   * @param loads the loads of all targets of the service
+   * @param now the current time, milliseconds
    */
   public static OptionalLong untilRested(Collection<TargetLoad> loads, long now) {
     return loads.stream().allMatch(load -> load.isResting(now))
-        ? loads.stream().mapToLong(load -> load.restsUntil() - now).min()
+        ? loads.stream().mapToLong(load -> load.backOffUntil() - now).min()
         : OptionalLong.empty();
   }
 
   /**
-   * Chooses.
+   * Chooses the target for a request.
    *
    * @param candidates the targets of the service, in an order that differs between calls, so that
-   *     entries which see the same loads don't all choose the same one
-   * @param tried ids of targets that this request was sent to before
-   * @param now the current time
-   * @return the target, or empty when all that can be reached are full, closed or resting
+   *     entries that see the same loads don't all choose the same target
+   * @param tried ids of targets to which this request has been sent already
+   * @param now the current time, milliseconds
+   * @return the target; empty if every target that was not tried is full, closed or in a back-off
+   *     that it requested
    */
   public Optional<Candidate> choose(List<Candidate> candidates, Set<String> tried, long now) {
     List<Candidate> untried =
@@ -87,21 +94,23 @@
             .toList();
     List<Candidate> reachable =
         untried.stream().filter(candidate -> !candidate.load().isSuspended(now)).toList();
-    // When all are suspended the cause is more likely this entry's own link; some target has to be
-    // tried, or the service would stay refused after the link is back.
+    // If all are suspended, the likely cause is this entry's own network link. One of them has to
+    // be tried, or the service would still be refused after the link has recovered.
     List<Candidate> usable = reachable.isEmpty() ? untried : reachable;
     List<Candidate> free =
         usable.stream()
             .filter(candidate -> candidate.load().requests(now, entries) < maximumRequests)
             .toList();
-    double least =
+    double lowest =
         free.stream().mapToDouble(candidate -> cost(candidate, now)).min().orElse(Double.MAX_VALUE);
-    return free.stream().filter(candidate -> cost(candidate, now) < least + AS_GOOD).findFirst();
+    return free.stream()
+        .filter(candidate -> cost(candidate, now) < lowest + TIE_TOLERANCE)
+        .findFirst();
   }
 
   private double cost(Candidate candidate, long now) {
     return candidate.load().requests(now, entries)
         + candidate.load().handicap(now)
-        + (candidate.sameZone() ? 0 : OTHER_ZONE_COSTS);
+        + (candidate.sameZone() ? 0 : OTHER_ZONE_COST);
   }
 }
--- a/core/src/main/java/dev/ibishub/core/serving/TargetLoad.java
+++ b/core/src/main/java/dev/ibishub/core/serving/TargetLoad.java
@@ -5,48 +5,54 @@
 import java.util.Optional;
 
 /**
- * What this entry believes of one target: how much work it has and how it has answered lately.
- * Thread-safe by one lock.
+ * This entry's view of one target: its estimated load, its recent failures, and whether it accepts
+ * requests. Thread-safe by one lock.
  *
- * <p>The work is the target's own last report plus what this entry sent since. Reports are a little
- * old, so several entries that see the same idle target would otherwise all choose it.
+ * <p>The load is the target's latest report plus what this entry has sent since. Reports are
+ * slightly stale, so without that correction an entry would send all its requests to the target
+ * that was idle in the last report.
  */
 public final class TargetLoad {
-  /** A report older than this no longer counts; some five pushes of an agent. Milliseconds. */
-  static final long REPORT_MILLIS = 500;
+  /** Age from which a report no longer counts, milliseconds; about five report periods. */
+  static final long MAXIMUM_REPORT_AGE_MILLIS = 500;
 
   /**
-   * A send is taken as not yet part of a report that was measured less than this later: the way to
-   * the target and the pass in which it takes the request in. Milliseconds.
+   * Time from a send until the request shows in the target's reports, milliseconds: the transit to
+   * the target plus the pass in which the target accepts the request.
    */
   static final long ARRIVAL_MILLIS = 15;
 
-  /** Weight of the newest answer in the share of failures. */
+  /** Weight of the latest answer in the moving average of failures. */
   private static final double FAILURE_WEIGHT = 0.25;
 
-  /** After this long without an answer half of the failures are forgiven. Milliseconds. */
-  private static final double FORGIVING_HALF_LIFE_MILLIS = 1_500;
+  /** Half-life of the failure share while no answer comes, milliseconds. */
+  private static final double FAILURE_HALF_LIFE_MILLIS = 1_500;
 
-  /** Requests that a target is taken to have on top while all its answers fail. */
-  private static final double FAILING_COSTS = 8;
+  /** Penalty of a target whose answers all fail, in requests. */
+  private static final double FAILURE_COST = 8;
 
-  /** A pace up to this is no slowness. */
+  /** Pace up to which a target is not penalized as slow. */
   private static final double USUAL_PACE = 1.1;
 
   /**
-   * Requests that a target is taken to have on top for each time that it is slower than usual.
-   * Ranks of a group step together, so the slow one's own part of a pass is what all wait for, and
-   * a request there lengthens every pause; on the others it lengthens none.
+   * Penalty for each unit of pace above {@link #USUAL_PACE}, in requests. The ranks of a group step
+   * together and wait for the slowest one, so a request on that rank lengthens every pause, while a
+   * request on another rank lengthens none.
    */
-  private static final double SLOWNESS_COSTS = 6;
+  private static final double SLOWNESS_COST = 6;
 
   /**
-   * A handicap below this is none. It only shrinks with time, so where all other targets are idle
-   * one that has failed would never be tried again.
+   * Penalty below which it counts as 0, in requests. The penalty for failures decays but never
+   * reaches 0, so a target that has failed would otherwise never be tried again while all others
+   * are idle.
    */
-  private static final double NEGLIGIBLE_HANDICAP = 0.25;
+  private static final double NEGLIGIBLE_PENALTY = 0.25;
 
-  /** How long a target is left alone after it could not be reached, doubling. Milliseconds. */
+  /**
+   * How long no requests are sent to a target after it could not be reached, milliseconds. It
+   * doubles with each further failure to reach the target, up to {@link
+   * #LONGEST_SUSPENSION_MILLIS}.
+   */
   private static final long FIRST_SUSPENSION_MILLIS = 300;
 
   private static final long LONGEST_SUSPENSION_MILLIS = 2_400;
@@ -59,25 +65,23 @@
   private long answeredAt;
   private long suspendedUntil = Long.MIN_VALUE;
   private long suspensionMillis = FIRST_SUSPENSION_MILLIS;
-  private long restsUntil = Long.MIN_VALUE;
+  private long backOffUntil = Long.MIN_VALUE;
   private boolean saysLeaving;
 
-  /** Counts a request sent to the target. */
+  /** Counts a request that this entry sends to the target. */
   public synchronized void onSent(long now) {
     ownInFlight++;
     sentSinceReport.addLast(now);
   }
 
-  /** Counts the end of a request, however it ended. */
+  /** Counts the end of a request, whatever its outcome. */
   public synchronized void onEnded() {
     ownInFlight--;
   }
 
   /**
-   * Takes a report of the target in. One that comes late, by another way than a newer one, is left
-   * out.
-   *
-   * @param newest what it said last
+   * Records a report of the target. It is ignored if a newer one has arrived already by another
+   * path.
    */
   public synchronized void onReport(TargetReport newest) {
     if (newest.measuredAt() < report.measuredAt()) {
@@ -90,7 +94,12 @@
     }
   }
 
-  /** Notes how the target answered. */
+  /**
+   * Records an answer of the target.
+   *
+   * @param good false if the target failed; true also for an error that the caller caused
+   * @param now the current time, milliseconds
+   */
   public synchronized void onAnswer(boolean good, long now) {
     failureShare = failureShare(now) * (1 - FAILURE_WEIGHT) + (good ? 0 : FAILURE_WEIGHT);
     answeredAt = now;
@@ -100,89 +109,99 @@
     }
   }
 
-  /** Notes that the target could not be reached; it is left alone for a while. */
+  /** Records that the target could not be reached, and suspends it for a while. */
   public synchronized void onUnreachable(long now) {
     onAnswer(false, now);
     suspendedUntil = now + suspensionMillis;
     suspensionMillis = Math.min(LONGEST_SUSPENSION_MILLIS, 2 * suspensionMillis);
   }
 
-  /** Whether the target could not be reached a short while ago. */
+  /** Whether the target is suspended because it could not be reached recently. */
   public synchronized boolean isSuspended(long now) {
     return now < suspendedUntil;
   }
 
   /**
-   * Notes that the target turned a request away and wants nothing from this entry for a while. A
-   * later answer that names an earlier time does not shorten it.
+   * Records that the target refused a request and asked this entry to back off. A later answer with
+   * an earlier end does not shorten the back-off.
    *
-   * @param until the end of that time, milliseconds
+   * @param until the end of the back-off, milliseconds
    */
   public synchronized void onRestAsked(long until) {
-    restsUntil = Math.max(restsUntil, until);
+    backOffUntil = Math.max(backOffUntil, until);
   }
 
-  /** Whether the target asked this entry for rest that is not over. */
+  /** Whether this entry must still back off from the target, as the target asked. */
   public synchronized boolean isResting(long now) {
-    return now < restsUntil;
+    return now < backOffUntil;
   }
 
   /**
-   * Returns until when the target rests, milliseconds; a time that has passed where it does not.
+   * Returns the end of the requested back-off, milliseconds; a time in the past if there is none.
    */
-  synchronized long restsUntil() {
-    return restsUntil;
+  synchronized long backOffUntil() {
+    return backOffUntil;
   }
 
   /**
-   * Notes that the target said in an answer that it leaves; that holds for the rest of its life.
+   * Records that the target stated in an answer that it is leaving, which it can't take back while
+   * it runs.
    */
   public synchronized void onLeaving() {
     saysLeaving = true;
   }
 
-  /** Whether the target said in an answer that it leaves. */
+  /** Whether the target stated in an answer that it is leaving. */
   public synchronized boolean saysLeaving() {
     return saysLeaving;
   }
 
   /** Whether the target's own report is recent enough to count. */
   public synchronized boolean hasReport(long now) {
-    return now - report.measuredAt() <= REPORT_MILLIS;
+    return now - report.measuredAt() <= MAXIMUM_REPORT_AGE_MILLIS;
   }
 
-  /** Notes to which group the target belongs; the group's openness is the target's from then on. */
+  /**
+   * Sets the group that the target belongs to. From then on the group's state, while known, decides
+   * whether the target is open.
+   */
   public synchronized void onGroup(GroupOpenness openness) {
     group = Optional.of(openness);
   }
 
-  /** Whether the target, or its group, said lately that it takes no requests at present. */
+  /** Whether a recent report of the group, or else of the target, says it accepts no requests. */
   public synchronized boolean isClosed(long now) {
-    return saysOpen(now).map(open -> !open).orElse(false);
+    return reportedOpen(now).map(open -> !open).orElse(false);
   }
 
-  /** Whether the target, or its group, said lately that it does take requests. */
+  /** Whether a recent report of the group, or else of the target, says it accepts requests. */
   public synchronized boolean isOpen(long now) {
-    return saysOpen(now).orElse(false);
+    return reportedOpen(now).orElse(false);
   }
 
-  private Optional<Boolean> saysOpen(long now) {
+  private Optional<Boolean> reportedOpen(long now) {
     return group
-        .filter(known -> known.isKnown(now))
+        .filter(known -> known.hasRecentReport(now))
         .map(GroupOpenness::isOpen)
         .or(() -> hasReport(now) ? Optional.of(report.isOpen()) : Optional.empty());
   }
 
-  /** Whether it has, by its own recent word, more requests than it runs at once. */
+  /**
+   * Whether the target recently reported more requests than it runs at once.
+   *
+   * @param now the current time, milliseconds
+   * @param slots how many requests the target runs at once
+   */
   public synchronized boolean isQueueing(long now, int slots) {
     return hasReport(now) && report.requests() > slots;
   }
 
   /**
-   * Estimates the requests at the target.
+   * Estimates how many requests wait or run at the target.
    *
-   * @param now the current time
-   * @param entries how many entries send to it; without a report each is taken to send as much
+   * @param now the current time, milliseconds
+   * @param entries how many entries send to it; without a recent report, each is assumed to have as
+   *     many requests in flight as this entry
    */
   public synchronized double requests(long now, int entries) {
     if (!hasReport(now)) {
@@ -191,14 +210,14 @@
     return report.requests() + sentSinceReport.size();
   }
 
-  /** Returns what its failures and its pace add to the requests when targets are compared. */
+  /** Returns the penalty for failures and slowness when targets are compared, in requests. */
   public synchronized double handicap(long now) {
-    double slowness = Math.max(0, report.pace() - USUAL_PACE) * SLOWNESS_COSTS;
-    double handicap = failureShare(now) * FAILING_COSTS + slowness;
-    return handicap < NEGLIGIBLE_HANDICAP ? 0 : handicap;
+    double slowness = Math.max(0, report.pace() - USUAL_PACE) * SLOWNESS_COST;
+    double penalty = failureShare(now) * FAILURE_COST + slowness;
+    return penalty < NEGLIGIBLE_PENALTY ? 0 : penalty;
   }
 
   private double failureShare(long now) {
-    return failureShare * Math.pow(0.5, (now - answeredAt) / FORGIVING_HALF_LIFE_MILLIS);
+    return failureShare * Math.pow(0.5, (now - answeredAt) / FAILURE_HALF_LIFE_MILLIS);
   }
 }
--- a/core/src/main/java/dev/ibishub/core/serving/TargetReport.java
+++ b/core/src/main/java/dev/ibishub/core/serving/TargetReport.java
@@ -3,30 +3,32 @@
 import java.util.Optional;
 
 /**
- * What a target said of its own work.
+ * A target's report of its own load. Used on the platform of the users; ibishub's own interface has
+ * {@link dev.ibishub.core.TargetStatus}.
  *
- * @param requests requests waiting and running there
- * @param pace how many times slower than usual it works, 1 for as usual
- * @param isOpen whether it takes requests; one whose group of ranks is broken does not
- * @param measuredAt when it said so, on this process's monotonic clock, milliseconds
- * @param group the group of ranks that it belongs to, where it belongs to one
+ * @param requests requests that wait or run at the target
+ * @param pace how many times as long as usual it takes for its work; 1 for as usual, above 1 for
+ *     slower
+ * @param isOpen whether it accepts requests; a target whose group of ranks is broken does not
+ * @param measuredAt when the report was made, on this process's monotonic clock, milliseconds
+ * @param group the group of ranks that it belongs to, if any
  */
 public record TargetReport(
     int requests, double pace, boolean isOpen, long measuredAt, Optional<GroupWord> group) {
   /**
-   * The group that a target belongs to.
+   * The group that a target reports to belong to.
    *
    * @param name the group's name
-   * @param epoch grows each time that the group forms anew
+   * @param epoch the group's epoch, which grows each time the group forms again
    */
   public record GroupWord(String name, long epoch) {}
 
-  /** Makes the report of a target that belongs to no group. */
+  /** Creates the report of a target that belongs to no group. */
   public TargetReport(int requests, double pace, boolean isOpen, long measuredAt) {
     this(requests, pace, isOpen, measuredAt, Optional.empty());
   }
 
-  /** Makes the report of a target that takes requests and works as fast as usual. */
+  /** Creates the report of a target that accepts requests and works at its usual speed. */
   public static TargetReport ofRequests(int requests, long measuredAt) {
     return new TargetReport(requests, 1, true, measuredAt);
   }
--- a/core/src/test/java/dev/ibishub/core/serving/TargetChoiceTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/TargetChoiceTest.java
@@ -20,11 +20,11 @@
         .toList();
   }
 
-  // Words come in bursts for one caller and smoothly for the next. Several entries saw the same
-  // idle rank in reports that were some milliseconds old and all sent to it; as ranks step
-  // together, the crowded one made every stream of the group wait.
+  // Guards against several entries that send to the same rank because it was idle in reports some
+  // milliseconds old. As ranks step together, the overloaded one makes every stream of the group
+  // pause, and output comes in bursts.
   @Test
-  void entriesThatSeeTheSameReportsStillSpreadABurstEvenly() {
+  void entriesWithSameReportsSpreadBurstEvenly() {
     int entries = 7;
     int targets = 16;
     Random random = new Random(5);
@@ -48,12 +48,12 @@
     assertThat(IntStream.of(running).min().orElseThrow()).isGreaterThanOrEqualTo(4);
   }
 
-  // Streams wait 2 s for a first piece and are given up, with free places at other ranks. A group
-  // opened after a loss of power; its ranks said so within 100 ms of each other, and all that had
-  // waited went to the first that did. Before, 60 requests put 20 at one of 12 ranks; now at most
-  // 8.
+  // Guards against sending all requests that waited for a group to the first ranks that report it
+  // open. After a loss of power the reports came within 100 ms of each other. Of 60 requests 20
+  // went to one of 12 ranks, and streams there were given up after 2 s without a first piece
+  // although other ranks had free slots. At most 8 may go to one rank.
   @Test
-  void requestsThatWaitedForAGroupSpreadOverAllItsRanks() {
+  void requestsThatWaitedForGroupSpreadOverAllItsRanks() {
     int ranks = 12;
     Random random = new Random(3);
     int[] running = new int[ranks];
@@ -63,8 +63,11 @@
     candidates.forEach(each -> each.load().onReport(new TargetReport(0, 1, false, 90)));
     group.onWord(1, false, 90);
     for (int request = 0; request < 60; request++) {
-      int told = request / 20;
-      candidates.get(told).load().onReport(new TargetReport(running[told], 1, true, 100 + request));
+      int reporting = request / 20;
+      candidates
+          .get(reporting)
+          .load()
+          .onReport(new TargetReport(running[reporting], 1, true, 100 + request));
       group.onWord(2, true, 100 + request);
       List<Candidate> shuffled = new ArrayList<>(candidates);
       Collections.shuffle(shuffled, random);
@@ -78,7 +81,7 @@
   }
 
   @Test
-  void groupThatOneRankCallsBrokenIsClosedAtAll() {
+  void groupIsClosedAtAllRanksIfOneRankReportsItClosed() {
     GroupOpenness group = new GroupOpenness();
     List<Candidate> candidates = candidates(3);
     candidates.forEach(each -> each.load().onGroup(group));
@@ -107,9 +110,9 @@
     assertThat(new TargetChoice(1, 9).choose(all, Set.of(), 100)).isEmpty();
   }
 
-  // Guards against a last resort that overrides what targets asked for.
+  // Guards against a fallback for unreachable targets that ignores a requested back-off.
   @Test
-  void targetThatAskedForRestIsNotChosenThoughNoOtherCanBeReached() {
+  void targetThatRequestedBackOffIsNotChosenThoughNoOtherIsReachable() {
     List<Candidate> all = candidates(2);
     all.get(0).load().onRestAsked(3_000);
     all.get(1).load().onUnreachable(0);
@@ -120,7 +123,7 @@
   }
 
   @Test
-  void laterAnswerDoesNotShortenARest() {
+  void laterAnswerDoesNotShortenBackOff() {
     List<Candidate> all = candidates(1);
     all.get(0).load().onRestAsked(3_000);
     all.get(0).load().onRestAsked(1_000);
@@ -129,7 +132,7 @@
   }
 
   @Test
-  void untilRestedIsTheTimeOfTheFirstWhereAllRest() {
+  void returnsTimeUntilFirstBackOffEndsIfAllTargetsRequestedOne() {
     List<TargetLoad> loads = candidates(2).stream().map(Candidate::load).toList();
     loads.get(0).onRestAsked(3_000);
     assertThat(TargetChoice.untilRested(loads, 1_000)).isEmpty();
@@ -147,11 +150,11 @@
         .contains("t1");
   }
 
-  // A page fails again and again although two other targets are sound. One target answers its
-  // health checks and resets nearly half of its requests; it looks idle for that, and idle ones are
-  // chosen.
+  // Guards against a target that passes its health checks but resets nearly half of its requests.
+  // It looks idle because of the failures and so is chosen again and again, although two other
+  // targets are healthy.
   @Test
-  void targetThatFailsWithoutSayingSoGetsFewRequestsAndIsTriedAgainLater() {
+  void targetWithUnreportedFailuresGetsFewRequestsAndIsTriedAgainLater() {
     List<Candidate> all = candidates(3);
     Map<String, Integer> sent = new HashMap<>();
     Random random = new Random(11);
@@ -169,7 +172,7 @@
   }
 
   @Test
-  void targetThatCannotBeReachedIsLeftAloneForAWhile() {
+  void unreachableTargetIsSuspendedForAWhile() {
     List<Candidate> all = candidates(2);
     all.get(0).load().onUnreachable(0);
 
@@ -177,11 +180,11 @@
     assertThat(all.get(0).load().isSuspended(400)).isFalse();
   }
 
-  // Each request is sent to three ranks in turn and refused by each, at the cost of the budget for
-  // retries. One rank had ended; the others said so, and the only one that did not say so was the
-  // one that had ended.
+  // Guards against requests that are refused by three ranks one after another and use up the retry
+  // budget. One rank had ended; the others reported that they were closed, and only the ended one,
+  // which reported nothing, did not look closed.
   @Test
-  void groupOfWhichOneRankEndedIsClosed() {
+  void groupWithEndedRankIsClosed() {
     List<Candidate> all = candidates(3);
     List<TargetLoad> loads = all.stream().map(Candidate::load).toList();
     all.stream()
@@ -189,11 +192,12 @@
         .forEach(candidate -> candidate.load().onReport(new TargetReport(2, 1, false, 100)));
 
     assertThat(TargetChoice.areClosed(loads, 150)).isTrue();
-    assertThat(TargetChoice.areClosed(loads, 100 + TargetLoad.REPORT_MILLIS + 1)).isFalse();
+    assertThat(TargetChoice.areClosed(loads, 100 + TargetLoad.MAXIMUM_REPORT_AGE_MILLIS + 1))
+        .isFalse();
   }
 
   @Test
-  void groupWhoseRanksAreAllThereIsAboutToOpen() {
+  void closedGroupIsFormingIfAllItsRanksReport() {
     List<TargetLoad> loads = candidates(2).stream().map(Candidate::load).toList();
     loads.get(0).onReport(new TargetReport(0, 1, false, 100));
     assertThat(TargetChoice.areForming(loads, 150)).isFalse();
@@ -204,7 +208,7 @@
   }
 
   @Test
-  void closedTargetIsNotChosenWhereAnotherGroupIsOpen() {
+  void closedTargetIsNotChosenIfAnotherIsOpen() {
     List<Candidate> all = candidates(2);
     all.get(0).load().onReport(new TargetReport(0, 1, false, 100));
     all.get(1).load().onReport(new TargetReport(5, 1, true, 100));
@@ -213,10 +217,10 @@
     assertThat(new TargetChoice(1, 9).choose(all, Set.of(), 150)).map(Candidate::id).contains("t1");
   }
 
-  // All streams pause for longer since one rank is slow, and it gets as many requests as the
-  // others. Its own part of each pass is what all wait for, and each request there makes it longer.
+  // Guards against a slow rank that gets as many requests as the others. All ranks wait for its
+  // part of each pass, and each request there lengthens the pauses of all streams.
   @Test
-  void slowRankGetsRequestsOnlyWhenTheOthersAreNearlyFull() {
+  void slowRankGetsRequestsOnlyWhenOthersAreNearlyFull() {
     List<Candidate> all = candidates(2);
     all.get(0).load().onReport(new TargetReport(0, 2.2, true, 100));
     all.get(1).load().onReport(new TargetReport(5, 1, true, 100));
@@ -227,7 +231,7 @@
   }
 
   @Test
-  void someTargetIsTriedWhenNoneCouldBeReached() {
+  void suspendedTargetIsChosenIfAllAreSuspended() {
     List<Candidate> all = candidates(2);
     all.forEach(candidate -> candidate.load().onUnreachable(0));
 
