--- a/core/src/main/java/dev/ibishub/core/serving/ReturnAdvice.java
+++ b/core/src/main/java/dev/ibishub/core/serving/ReturnAdvice.java
@@ -3,106 +3,106 @@
 import java.util.OptionalLong;
 
 /**
- * When a caller whose request was refused should come back. Stateless.
+ * Computes after what time a caller whose request was refused should retry. Stateless.
  *
- * <p>Callers come back once or twice at most, so a time that is too early wastes what they have;
- * and those refused at one moment must not all return at another.
+ * <p>Callers retry only once or twice, so advice that is too short wastes their attempts. The
+ * advice has jitter, so that callers refused at the same moment do not all return together.
  */
 public final class ReturnAdvice {
-  /**
-   * Least and most time where all places are taken and nothing is known of how long they are,
-   * milliseconds.
-   */
+  /** Minimum advice if it is not known when a slot comes free, milliseconds. */
   private static final long FULL_MILLIS = 250;
 
-  private static final long FULL_SPREAD_MILLIS = 500;
+  /** Range of the jitter on top of {@link #FULL_MILLIS}, milliseconds. */
+  private static final long FULL_JITTER_MILLIS = 500;
 
   /**
-   * Times that a slot of every target has to come free before callers return: once for the requests
-   * that wait there already, and spread over two more for themselves.
+   * Minimum advice for full engines, as a multiple of the time until a slot comes free: the
+   * requests that wait already take the first free slots.
    */
-  private static final double SLOT_ROUNDS = 1;
+  private static final double SLOT_TURNS = 1;
 
-  private static final double SLOT_ROUNDS_SPREAD = 2;
+  /** Range of the jitter on top of {@link #SLOT_TURNS}: the slots left for the callers refused. */
+  private static final double SLOT_TURNS_JITTER = 2;
 
-  /** Callers wait for at most this part of the time that they have left. */
-  private static final double HONOURED_PART = 1.0 / 3;
+  /** Callers follow the advice only up to this share of the time that they have left. */
+  private static final double HONOURED_SHARE = 1.0 / 3;
 
   /**
-   * Where nothing can run the request, the least part of the honoured time. An engine takes seconds
-   * to come back and its group another half; who comes back before is refused for good.
+   * Minimum advice if no target can run the request, as a share of the time that callers honour. An
+   * engine takes seconds to restart and its group another half second; a caller that retries
+   * earlier is refused for good.
    */
-  private static final double LEAST_PART = 0.6;
+  private static final double MINIMUM_CLOSED_SHARE = 0.6;
 
   /**
-   * A process that starts knows its configuration within this, milliseconds, if it can be had (0.4
-   * to 0.5 s measured on a VM with three quarters of a core). One that still knows none has to wait
-   * for the store, which may take seconds.
+   * Time within which a starting process usually has its configuration, milliseconds. Where the
+   * configuration is available it takes 0.4 to 0.5 s on a VM with three quarters of a core. A
+   * process that has none after this time has to wait for the store, which may take seconds.
    */
   private static final long USUAL_START_MILLIS = 1_000;
 
-  /** Time that a caller is taken to have who doesn't say, milliseconds. */
-  private static final long UNSAID_LEFT_MILLIS = 1_500;
+  /** Time left that is assumed of a caller that does not state it, milliseconds. */
+  private static final long DEFAULT_LEFT_MILLIS = 1_500;
 
   private ReturnAdvice() {}
 
   /**
-   * Advises a caller where all places are taken, or a target failed to take the request.
+   * Returns the advice if all targets are full or a target failed to accept the request.
    *
-   * @param point a number from 0 to below 1, drawn evenly
+   * @param jitter a random number from 0 to below 1, uniformly distributed
    * @return milliseconds
    */
-  public static long whenFull(double point) {
-    return FULL_MILLIS + (long) (point * FULL_SPREAD_MILLIS);
+  public static long whenFull(double jitter) {
+    return FULL_MILLIS + (long) (jitter * FULL_JITTER_MILLIS);
   }
 
   /**
-   * Advises a caller where all places of model engines are taken.
+   * Returns the advice if all model engines are full.
    *
-   * @param slotFreesMillis how long it takes until one of a full engine's slots comes free
-   * @param point a number from 0 to below 1, drawn evenly
+   * @param slotFreesMillis expected time until a slot of a full engine comes free, milliseconds
+   * @param jitter a random number from 0 to below 1, uniformly distributed
    * @return milliseconds
    */
-  public static long whenFull(double slotFreesMillis, double point) {
-    return (long) (slotFreesMillis * (SLOT_ROUNDS + SLOT_ROUNDS_SPREAD * point));
+  public static long whenFull(double slotFreesMillis, double jitter) {
+    return (long) (slotFreesMillis * (SLOT_TURNS + SLOT_TURNS_JITTER * jitter));
   }
 
   /**
-   * Advises a caller of a process that can't judge requests yet.
+   * Returns the advice if this process has no configuration yet and so can't judge requests.
    *
-   * @param sinceStartMillis how long ago it started, milliseconds
-   * @param leftMillis how long the caller will wait, milliseconds, where it says so
-   * @param point a number from 0 to below 1, drawn evenly
+   * @param sinceStartMillis how long ago the process started, milliseconds
+   * @param leftMillis how long the caller will wait, milliseconds; empty if it does not say
+   * @param jitter a random number from 0 to below 1, uniformly distributed
    * @return milliseconds
    */
-  public static long whileStarting(long sinceStartMillis, OptionalLong leftMillis, double point) {
+  public static long whileStarting(long sinceStartMillis, OptionalLong leftMillis, double jitter) {
     return sinceStartMillis < USUAL_START_MILLIS
-        ? whenFull(point)
-        : whileClosed(leftMillis.orElse(UNSAID_LEFT_MILLIS), point);
+        ? whenFull(jitter)
+        : whileClosed(leftMillis.orElse(DEFAULT_LEFT_MILLIS), jitter);
   }
 
   /**
-   * Advises a caller where no target takes requests at present.
+   * Returns the advice if no target accepts requests at present.
    *
    * @param leftMillis time until the request's deadline, milliseconds
-   * @param point a number from 0 to below 1, drawn evenly
+   * @param jitter a random number from 0 to below 1, uniformly distributed
    * @return milliseconds
    */
-  public static long whileClosed(long leftMillis, double point) {
-    double part = LEAST_PART + (1 - LEAST_PART) * point;
-    return Math.max(FULL_MILLIS, (long) (leftMillis * HONOURED_PART * part));
+  public static long whileClosed(long leftMillis, double jitter) {
+    double share = MINIMUM_CLOSED_SHARE + (1 - MINIMUM_CLOSED_SHARE) * jitter;
+    return Math.max(FULL_MILLIS, (long) (leftMillis * HONOURED_SHARE * share));
   }
 
   /**
-   * Advises a caller where all targets asked this entry for rest.
+   * Returns the advice if all targets have asked this entry to back off.
    *
-   * @param restMillis time until the first of them has rested, milliseconds
+   * @param backOffMillis time until the first back-off ends, milliseconds
    * @param leftMillis time until the request's deadline, milliseconds
-   * @param point a number from 0 to below 1, drawn evenly
+   * @param jitter a random number from 0 to below 1, uniformly distributed
    * @return milliseconds
    */
-  public static long whileResting(long restMillis, long leftMillis, double point) {
+  public static long whileResting(long backOffMillis, long leftMillis, double jitter) {
     return Math.min(
-        restMillis + (long) (point * FULL_SPREAD_MILLIS), whileClosed(leftMillis, point));
+        backOffMillis + (long) (jitter * FULL_JITTER_MILLIS), whileClosed(leftMillis, jitter));
   }
 }
--- a/core/src/test/java/dev/ibishub/core/serving/ReturnAdviceTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/ReturnAdviceTest.java
@@ -7,24 +7,26 @@
 
 final class ReturnAdviceTest {
   @Test
-  void refusedCallersReturnSpreadOverHalfASecond() {
+  void callersOfFullTargetsRetrySpreadOverHalfSecond() {
     assertThat(ReturnAdvice.whenFull(0)).isEqualTo(250);
     assertThat(ReturnAdvice.whenFull(0.999)).isBetween(700L, 750L);
   }
 
-  // Every caller is refused for good although engines are back three seconds later. A group of
-  // ranks was broken, callers were told to come back within half a second, and they come back once.
+  // Guards against advice that is too short while a group of ranks is broken. Callers retry once;
+  // told to do so within half a second, all were refused for good although the engines were back
+  // three seconds later.
   @Test
-  void callersOfAClosedGroupReturnAsLateAsTheyWouldWait() {
+  void callersOfClosedGroupRetryAsLateAsTheyWait() {
     assertThat(ReturnAdvice.whileClosed(8_000, 0)).isBetween(1_500L, 1_700L);
     assertThat(ReturnAdvice.whileClosed(8_000, 0.999)).isBetween(2_600L, 2_667L);
   }
 
-  // Eight in ten callers are refused for good two seconds after all entries were killed. The store
-  // was away for another half second; entries that knew no configuration told callers to return at
-  // once, and they return once.
+  // Guards against advice that is too short while the store is unavailable. Two seconds after all
+  // entries had been killed the store was missing for another half second; entries without a
+  // configuration told callers to retry at once, and eight in ten were refused for good, as callers
+  // retry once.
   @Test
-  void callersOfAProcessThatWaitsForTheStoreReturnAsLateAsTheyWouldWait() {
+  void callersOfProcessWaitingForStoreRetryAsLateAsTheyWait() {
     assertThat(ReturnAdvice.whileStarting(1_500, OptionalLong.of(8_000), 0.5))
         .isBetween(2_000L, 2_200L);
     assertThat(ReturnAdvice.whileStarting(300, OptionalLong.of(8_000), 0.5)).isEqualTo(500);
@@ -32,12 +34,12 @@
   }
 
   @Test
-  void callersWithLittleTimeAreNotToldToReturnAtOnce() {
+  void callersWithLittleTimeAreNotToldToRetryAtOnce() {
     assertThat(ReturnAdvice.whileClosed(300, 0.5)).isEqualTo(250);
   }
 
   @Test
-  void callerReturnsWhenTheFirstTargetHasRestedIfItWaitsThatLong() {
+  void callerRetriesWhenFirstBackOffEndsIfItWaitsThatLong() {
     assertThat(ReturnAdvice.whileResting(1_000, 9_000, 0)).isEqualTo(1_000);
     assertThat(ReturnAdvice.whileResting(1_000, 9_000, 0.5)).isBetween(1_001L, 1_500L);
     assertThat(ReturnAdvice.whileResting(60_000, 9_000, 0.99)).isLessThanOrEqualTo(3_000);
