--- a/core/src/main/java/dev/ibishub/core/serving/SilenceRule.java
+++ b/core/src/main/java/dev/ibishub/core/serving/SilenceRule.java
@@ -3,37 +3,40 @@
 import java.util.OptionalLong;
 
 /**
- * When a stream that other targets may go on with is given up at a silent one. Stateless.
+ * Decides when a resumable stream is given up at a target that has gone silent, so that another
+ * target can take it over. Stateless.
  *
- * <p>Guards against targets that swallow a request, and connections that go silent without being
- * closed: the caller would see nothing until it leaves, some two seconds after the last piece, and
- * the target would go on getting requests, as nothing speaks against it.
+ * <p>Guards against targets that accept a request and never answer, and against connections that go
+ * silent without being closed. The caller would see nothing and leave about two seconds after the
+ * last piece, and the target would go on receiving requests, as nothing shows that it is faulty.
  */
 public final class SilenceRule {
   /**
-   * How long the first piece may take while the other streams move, milliseconds. First pieces come
-   * within 0.4 s where a slot is free; another target's, from then on, still comes before the
-   * caller leaves after 2 s.
+   * How long the first piece may take while the service's other streams progress, milliseconds.
+   * First pieces come within 0.4 s if a slot is free. After this time the first piece of another
+   * target still comes before the caller leaves, which it does after 2 s.
    */
-  static final long FIRST_PIECE_MILLIS = 900;
+  static final long FIRST_PIECE_TIMEOUT_MILLIS = 900;
 
   /**
-   * How long a pause may last while the other streams move, milliseconds. A stream that lost its
-   * memory to others is read again within some 300.
+   * How long a pause may last while the service's other streams progress, milliseconds. A stream
+   * whose cache was evicted in favour of others is recomputed within about 300 ms.
    */
-  static final long PAUSE_MILLIS = 700;
+  static final long PAUSE_TIMEOUT_MILLIS = 700;
 
   private SilenceRule() {}
 
   /**
-   * Decides.
+   * Whether a stream is to be given up at its target.
    *
-   * @param now the current time
-   * @param heardAt when the last piece came, or the request was sent
+   * @param now the current time, milliseconds
+   * @param heardAt when the last piece came or, before the first, when the request was sent,
+   *     milliseconds
    * @param isBegun whether any piece has come from this target
    * @param mayWait whether the target has more requests than it runs at once, so that one without a
-   *     piece may still wait its turn
-   * @param movingSince since when the service's streams move, empty while all stand still
+   *     piece may still be queued
+   * @param movingSince since when the service's streams have progressed without a stall,
+   *     milliseconds; empty while all of them stall
    */
   public static boolean isLost(
       long now, long heardAt, boolean isBegun, boolean mayWait, OptionalLong movingSince) {
@@ -44,12 +47,13 @@
   }
 
   /**
-   * Returns the earliest time at which a stream that stays silent may be given up.
+   * Returns the earliest time at which a stream that stays silent may be given up, milliseconds.
    *
-   * @param heardAt when the last piece came, or the request was sent
+   * @param heardAt when the last piece came or, before the first, when the request was sent,
+   *     milliseconds
    * @param isBegun whether any piece has come from this target
    */
   public static long lostFrom(long heardAt, boolean isBegun) {
-    return heardAt + (isBegun ? PAUSE_MILLIS : FIRST_PIECE_MILLIS) + 1;
+    return heardAt + (isBegun ? PAUSE_TIMEOUT_MILLIS : FIRST_PIECE_TIMEOUT_MILLIS) + 1;
   }
 }
--- a/core/src/main/java/dev/ibishub/core/serving/StreamProgress.java
+++ b/core/src/main/java/dev/ibishub/core/serving/StreamProgress.java
@@ -3,21 +3,25 @@
 import java.util.OptionalLong;
 
 /**
- * Whether the streams of a service move, seen over all that this entry relays. Thread-safe by one
- * lock.
+ * Whether the streams of one service progress, over all streams that this entry relays. Thread-safe
+ * by one lock.
  *
- * <p>Ranks of a group step together, so that either all their streams move or none does. A stream
- * that is silent while the others move has lost its target or its connection; one that is silent
- * with all others waits for the group and would only wait longer elsewhere.
+ * <p>The ranks of a group step together, so either all their streams progress or none does. A
+ * stream that is silent while the others progress has lost its target or its connection. A stream
+ * that is silent together with all others waits for its group, and moving it to another target
+ * would only delay it.
  */
 public final class StreamProgress {
-  /** Pieces come once a pass, 50 to 120 ms apart; after this long without any all stand still. */
+  /**
+   * Time without any piece after which all streams count as stalled, milliseconds. Pieces come once
+   * per pass of the model, every 50 to 120 ms.
+   */
   static final long STALL_MILLIS = 350;
 
   private long lastPieceAt = Long.MIN_VALUE / 2;
   private long movingSince;
 
-  /** Notes a piece of any stream. */
+  /** Records a piece of any stream. */
   public synchronized void onPiece(long now) {
     if (now - lastPieceAt > STALL_MILLIS) {
       movingSince = now;
@@ -25,7 +29,7 @@
     lastPieceAt = now;
   }
 
-  /** Returns since when pieces have come without a stall; empty while all streams stand still. */
+  /** Returns since when pieces have come without a stall; empty while all streams stall. */
   public synchronized OptionalLong movingSince(long now) {
     return now - lastPieceAt > STALL_MILLIS ? OptionalLong.empty() : OptionalLong.of(movingSince);
   }
--- a/core/src/main/java/dev/ibishub/core/serving/package-info.java
+++ b/core/src/main/java/dev/ibishub/core/serving/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The decisions on one caller's request: which target gets it, whether it is refused, whether it
- * may be sent again. Times are milliseconds of one monotonic clock, handed in by the caller.
+ * The decisions about one caller's request on the platform of the users: which target gets it,
+ * whether it is refused, and whether it may be sent again. Times are milliseconds of one monotonic
+ * clock, passed in by the caller.
  */
 package dev.ibishub.core.serving;
--- a/core/src/test/java/dev/ibishub/core/serving/SilenceRuleTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/SilenceRuleTest.java
@@ -6,61 +6,64 @@
 import org.junit.jupiter.api.Test;
 
 final class SilenceRuleTest {
-  private final StreamProgress others = new StreamProgress();
+  private final StreamProgress progress = new StreamProgress();
 
-  private void piecesEach80Millis(long from, long to) {
+  private void addPiecesEvery80Millis(long from, long to) {
     for (long now = from; now <= to; now += 80) {
-      others.onPiece(now);
+      progress.onPiece(now);
     }
   }
 
-  // A caller sees nothing for two seconds and leaves, and so does the next one at the same target.
-  // The target takes requests and never answers; its health is good and it looks idle.
+  // Guards against a target that accepts requests and never answers while its health checks pass
+  // and it looks idle: each caller sees nothing for two seconds and leaves.
   @Test
-  void streamWithoutAFirstPieceIsLostWhileTheOthersMove() {
-    piecesEach80Millis(0, 2_000);
+  void streamWithoutFirstPieceIsLostWhileOthersProgress() {
+    addPiecesEvery80Millis(0, 2_000);
 
-    assertThat(SilenceRule.isLost(1_700, 1_000, false, false, others.movingSince(1_700))).isFalse();
-    assertThat(SilenceRule.isLost(2_000, 1_000, false, false, others.movingSince(2_000))).isTrue();
+    assertThat(SilenceRule.isLost(1_700, 1_000, false, false, progress.movingSince(1_700)))
+        .isFalse();
+    assertThat(SilenceRule.isLost(2_000, 1_000, false, false, progress.movingSince(2_000)))
+        .isTrue();
   }
 
   @Test
-  void streamThatMayStillWaitItsTurnIsNotLost() {
-    piecesEach80Millis(0, 2_000);
+  void streamThatMayStillBeQueuedIsNotLost() {
+    addPiecesEvery80Millis(0, 2_000);
 
-    assertThat(SilenceRule.isLost(2_000, 0, false, true, others.movingSince(2_000))).isFalse();
+    assertThat(SilenceRule.isLost(2_000, 0, false, true, progress.movingSince(2_000))).isFalse();
   }
 
   @Test
-  void streamThatStoppedInTheMiddleIsLostSooner() {
-    piecesEach80Millis(0, 2_000);
+  void streamThatStoppedAfterFirstPieceIsLostSooner() {
+    addPiecesEvery80Millis(0, 2_000);
 
-    assertThat(SilenceRule.isLost(1_900, 1_100, true, true, others.movingSince(1_900))).isTrue();
+    assertThat(SilenceRule.isLost(1_900, 1_100, true, true, progress.movingSince(1_900))).isTrue();
   }
 
-  // All streams of a group start over at other targets at once, twice the work for the same
-  // answers. The group stood still for 1.5 s since one rank ended, and each stream looked lost by
-  // itself.
+  // Guards against moving all streams of a group to other targets at once, which doubles the work.
+  // The group stalled for 1.5 s because one rank had ended, and each stream by itself looked lost.
   @Test
-  void streamsOfAGroupThatStandsStillAreNotLost() {
-    piecesEach80Millis(0, 1_000);
+  void streamsOfStalledGroupAreNotLost() {
+    addPiecesEvery80Millis(0, 1_000);
 
-    assertThat(SilenceRule.isLost(2_400, 1_000, true, false, others.movingSince(2_400))).isFalse();
+    assertThat(SilenceRule.isLost(2_400, 1_000, true, false, progress.movingSince(2_400)))
+        .isFalse();
   }
 
-  // The same a moment later: the group goes on, and the first stream whose piece comes made all
-  // others look as if they alone had been left out.
+  // Guards against the same when the stall ends: after the first piece of one stream, all others
+  // looked lost because they were silent while that one progressed.
   @Test
-  void streamsOfAGroupThatGoesOnHaveTimeToMoveAgain() {
-    piecesEach80Millis(0, 1_000);
-    piecesEach80Millis(2_500, 3_300);
+  void streamsAreNotLostRightAfterStallEnds() {
+    addPiecesEvery80Millis(0, 1_000);
+    addPiecesEvery80Millis(2_500, 3_300);
 
-    assertThat(SilenceRule.isLost(2_600, 1_000, true, false, others.movingSince(2_600))).isFalse();
-    assertThat(SilenceRule.isLost(3_300, 1_000, true, false, others.movingSince(3_300))).isTrue();
+    assertThat(SilenceRule.isLost(2_600, 1_000, true, false, progress.movingSince(2_600)))
+        .isFalse();
+    assertThat(SilenceRule.isLost(3_300, 1_000, true, false, progress.movingSince(3_300))).isTrue();
   }
 
   @Test
-  void nothingMovesBeforeTheFirstPiece() {
-    assertThat(others.movingSince(5_000)).isEqualTo(OptionalLong.empty());
+  void noStreamProgressesBeforeFirstPiece() {
+    assertThat(progress.movingSince(5_000)).isEqualTo(OptionalLong.empty());
   }
 }
