--- a/core/src/main/java/dev/ibishub/core/serving/AnswerTimes.java
+++ b/core/src/main/java/dev/ibishub/core/serving/AnswerTimes.java
@@ -37,16 +37,16 @@
    * percentile of the answers. With too few answers it is half of the goal, or empty without a
    * goal.
    *
-   * @param aimMillis the latency goal of the route, milliseconds; 0 for none
+   * @param goalMillis the latency goal of the route, milliseconds; 0 for none
    */
-  public synchronized OptionalLong silenceMillis(long aimMillis) {
+  public synchronized OptionalLong silenceMillis(long goalMillis) {
     if (sampleCount < MINIMUM_SAMPLES) {
-      return aimMillis > 0 ? OptionalLong.of(aimMillis / 2) : OptionalLong.empty();
+      return goalMillis > 0 ? OptionalLong.of(goalMillis / 2) : OptionalLong.empty();
     }
     long[] sorted = Arrays.copyOf(latestMillis, (int) Math.min(sampleCount, WINDOW_SIZE));
     Arrays.sort(sorted);
     long median = sorted[sorted.length / 2];
     long hedgeQuantile = sorted[(int) (sorted.length * HEDGE_QUANTILE)];
-    return OptionalLong.of(Math.max(hedgeQuantile, aimMillis - median));
+    return OptionalLong.of(Math.max(hedgeQuantile, goalMillis - median));
   }
 }
--- a/core/src/main/java/dev/ibishub/core/serving/GroupOpenness.java
+++ b/core/src/main/java/dev/ibishub/core/serving/GroupOpenness.java
@@ -7,8 +7,8 @@
  * <p>All ranks of a group open and break at the same moment, but report it up to one report period
  * apart. If each rank were judged by its own report alone, all requests that wait for the group
  * would go to the first few ranks that report it open: up to 15 requests went to one of 12 ranks
- * that run 8 at once, against 7 at others, and callers waiting there left after 2 s without any
- * output.
+ * that run 8 at once, against 7 at others, and callers waiting there left after 2 s without a piece
+ * of their streams.
  */
 public final class GroupOpenness {
   private long epoch = Long.MIN_VALUE;
--- a/core/src/main/java/dev/ibishub/core/serving/LimitDivision.java
+++ b/core/src/main/java/dev/ibishub/core/serving/LimitDivision.java
@@ -23,8 +23,9 @@
 
   /**
    * Returns a rule that divides a limit evenly among a few entries, its holders. There is one
-   * holder for each whole request per second of the limit, but at least one. More holders would
-   * make bursts larger, as each may send its first request at any moment.
+   * holder for each whole request per second of the limit, but at least one and at most as many as
+   * there are entries. More holders would make bursts larger, as each may send its first request at
+   * any moment.
    *
    * <p>Holders are chosen by rendezvous hashing of host and target. If two entries know different
    * sets of hosts, their choices differ only by the hosts that one of them does not know.
--- a/core/src/main/java/dev/ibishub/core/serving/RequestIdentity.java
+++ b/core/src/main/java/dev/ibishub/core/serving/RequestIdentity.java
@@ -9,7 +9,7 @@
 
 /**
  * A fingerprint by which a request that is sent again is recognized, also at another entry. It is a
- * digest, so that neither caller keys nor bodies are kept.
+ * digest, so that neither keys of callers nor bodies are kept.
  *
  * @param digest the digest in hexadecimal
  */
--- a/core/src/main/java/dev/ibishub/core/serving/SilenceRule.java
+++ b/core/src/main/java/dev/ibishub/core/serving/SilenceRule.java
@@ -20,7 +20,7 @@
 
   /**
    * How long a pause may last while the service's other streams progress, milliseconds. A stream
-   * whose cache was evicted in favour of others is recomputed within about 300 ms.
+   * whose cache was evicted in favour of others has its text processed again within about 300 ms.
    */
   static final long PAUSE_TIMEOUT_MILLIS = 700;
 
--- a/core/src/main/java/dev/ibishub/core/serving/TargetChoice.java
+++ b/core/src/main/java/dev/ibishub/core/serving/TargetChoice.java
@@ -40,7 +40,7 @@
   /**
    * Whether none of a service's targets can run a request now: at least one reports that it is
    * closed and none that it is open. When one rank of a group ends, the others report that they are
-   * closed, while the ended one reports nothing and must not be chosen for that.
+   * closed, while the ended one reports nothing and can't be reached.
    *
    * @param loads the loads of all targets of the service
    * @param now the current time, milliseconds
--- a/core/src/main/java/dev/ibishub/core/serving/TargetLoad.java
+++ b/core/src/main/java/dev/ibishub/core/serving/TargetLoad.java
@@ -9,11 +9,11 @@
  * requests. Thread-safe by one lock.
  *
  * <p>The load is the target's latest report plus what this entry has sent since. Reports are
- * slightly stale, so without that correction an entry would send all its requests to the target
- * that was idle in the last report.
+ * slightly stale, so without that correction entries that see the same idle target would all keep
+ * sending to it.
  */
 public final class TargetLoad {
-  /** Age from which a report no longer counts, milliseconds; about five report periods. */
+  /** Age beyond which a report no longer counts, milliseconds; about five report periods. */
   static final long MAXIMUM_REPORT_AGE_MILLIS = 500;
 
   /**
