--- a/gateway/src/main/java/dev/ibishub/gateway/http/HttpCall.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/http/HttpCall.java
@@ -4,15 +4,15 @@
 import java.util.Objects;
 
 /**
- * A call to an outside system.
+ * HTTP request to an external system.
  *
- * @param host IP number
+ * @param host IP address
  * @param port port
  * @param method HTTP method
- * @param pathAndQuery the target of the request line
+ * @param pathAndQuery path and query of the request line
  * @param headers headers besides {@code Host} and {@code Content-Length}
  * @param body the body; empty for none
- * @param timeoutMillis how long to wait for the whole answer, milliseconds
+ * @param timeoutMillis timeout for the whole response, milliseconds
  */
 @SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
 public record HttpCall(
@@ -29,7 +29,7 @@
     headers = Map.copyOf(headers);
   }
 
-  /** Returns a call without body and headers. */
+  /** Returns a GET request without headers and body. */
   public static HttpCall get(String host, int port, String pathAndQuery, long timeoutMillis) {
     return new HttpCall(host, port, "GET", pathAndQuery, Map.of(), new byte[0], timeoutMillis);
   }
--- a/gateway/src/main/java/dev/ibishub/gateway/http/HttpCaller.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/http/HttpCaller.java
@@ -33,9 +33,8 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Sends calls to outside systems over kept connections. A call is never sent twice. A connection on
- * which an answer did not come in time is closed, since nothing more may ever come there.
- * Thread-safe.
+ * HTTP client for external systems, with pooled connections. A request is never sent twice. A
+ * connection on which a response did not arrive in time is closed, as it may be dead. Thread-safe.
  *
  * <pre>{@code
  * caller.call(HttpCall.get("10.1.0.4", 8080, "/health", 500)).thenAccept(reply -> ...);
@@ -44,39 +43,42 @@
 public final class HttpCaller {
   private static final int CONNECT_TIMEOUT_MILLIS = 800;
 
-  /** Pages of the store are at most 1 MB of JSON, reads as many KB as were asked for. */
-  private static final int MAXIMUM_ANSWER_BYTES = 8 << 20;
+  /**
+   * Limit on the size of a response, bytes. Pages of the store are at most 1 MB of JSON; reads
+   * return as many KB as were requested.
+   */
+  private static final int MAXIMUM_RESPONSE_BYTES = 8 << 20;
 
-  /** Idle connections kept to one address. */
-  private static final int KEPT_CONNECTIONS = 4;
+  /** Most idle connections that are kept to one address. */
+  private static final int MAXIMUM_IDLE_CONNECTIONS = 4;
 
   /**
-   * An idle connection is not used again after this long, since peers close theirs after a timeout
-   * of their own and a request would cross that. Milliseconds.
+   * How long an idle connection may still be reused, milliseconds. Peers close idle connections
+   * after a timeout of their own, and a request sent at that moment would be lost.
    */
-  private static final long REUSE_MILLIS = 2_000;
+  private static final long MAXIMUM_IDLE_MILLIS = 2_000;
 
   private final EventLoopGroup group;
-  private final Map<InetSocketAddress, Deque<Kept>> idle = new ConcurrentHashMap<>();
+  private final Map<InetSocketAddress, Deque<IdleConnection>> idle = new ConcurrentHashMap<>();
 
-  private record Kept(Channel channel, long reusableUntilNanos) {}
+  private record IdleConnection(Channel channel, long reusableUntilNanos) {}
 
   public HttpCaller(EventLoopGroup group) {
     this.group = group;
   }
 
   /**
-   * Sends a call.
+   * Sends a request.
    *
-   * @return the answer; fails with {@link TimeoutException} or {@link IOException}, after which the
-   *     call may or may not have been carried out
+   * @return the response; fails with {@link TimeoutException} or {@link IOException}, after which
+   *     the request may or may not have been carried out
    */
   public CompletableFuture<HttpReply> call(HttpCall call) {
     CompletableFuture<HttpReply> reply = new CompletableFuture<>();
     InetSocketAddress address = new InetSocketAddress(call.host(), call.port());
-    Channel kept = takeIdle(address);
-    if (kept != null) {
-      send(kept, address, call, reply);
+    Channel pooled = pollIdle(address);
+    if (pooled != null) {
+      send(pooled, address, call, reply);
       return reply;
     }
     new Bootstrap()
@@ -93,7 +95,7 @@
                 channel
                     .pipeline()
                     .addLast(new HttpClientCodec())
-                    .addLast(new HttpObjectAggregator(MAXIMUM_ANSWER_BYTES));
+                    .addLast(new HttpObjectAggregator(MAXIMUM_RESPONSE_BYTES));
               }
             })
         .connect(address)
@@ -108,14 +110,14 @@
     return reply;
   }
 
-  private Channel takeIdle(InetSocketAddress address) {
-    Deque<Kept> kept = idle.get(address);
-    if (kept == null) {
+  private Channel pollIdle(InetSocketAddress address) {
+    Deque<IdleConnection> connections = idle.get(address);
+    if (connections == null) {
       return null;
     }
-    synchronized (kept) {
-      while (!kept.isEmpty()) {
-        Kept newest = kept.pollLast();
+    synchronized (connections) {
+      while (!connections.isEmpty()) {
+        IdleConnection newest = connections.pollLast();
         if (newest.channel().isActive() && System.nanoTime() < newest.reusableUntilNanos()) {
           return newest.channel();
         }
@@ -125,16 +127,16 @@
     return null;
   }
 
-  private void keep(InetSocketAddress address, Channel channel) {
-    Deque<Kept> kept = idle.computeIfAbsent(address, any -> new ArrayDeque<>());
-    synchronized (kept) {
-      kept.removeIf(one -> !one.channel().isActive());
-      if (kept.size() >= KEPT_CONNECTIONS) {
+  private void returnToPool(InetSocketAddress address, Channel channel) {
+    Deque<IdleConnection> connections = idle.computeIfAbsent(address, key -> new ArrayDeque<>());
+    synchronized (connections) {
+      connections.removeIf(connection -> !connection.channel().isActive());
+      if (connections.size() >= MAXIMUM_IDLE_CONNECTIONS) {
         channel.close();
         return;
       }
-      long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(REUSE_MILLIS);
-      kept.addLast(new Kept(channel, until));
+      long reusableUntil = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(MAXIMUM_IDLE_MILLIS);
+      connections.addLast(new IdleConnection(channel, reusableUntil));
     }
   }
 
@@ -149,14 +151,14 @@
             .schedule(
                 () -> {
                   if (reply.completeExceptionally(
-                      new TimeoutException(call.pathAndQuery() + " had no answer in time"))) {
+                      new TimeoutException(call.pathAndQuery() + " had no response in time"))) {
                     channel.close();
                   }
                 },
                 call.timeoutMillis(),
                 TimeUnit.MILLISECONDS);
     reply.whenComplete((value, failure) -> timer.cancel(false));
-    channel.pipeline().addLast(new Waiting(address, reply));
+    channel.pipeline().addLast(new ResponseHandler(address, reply));
     channel
         .writeAndFlush(request(call))
         .addListener(
@@ -183,12 +185,12 @@
     return request;
   }
 
-  /** Hands the one answer that is due to its call. */
-  private final class Waiting extends SimpleChannelInboundHandler<FullHttpResponse> {
+  /** Completes the call in flight with the response that arrives. */
+  private final class ResponseHandler extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final InetSocketAddress address;
     private final CompletableFuture<HttpReply> reply;
 
-    Waiting(InetSocketAddress address, CompletableFuture<HttpReply> reply) {
+    ResponseHandler(InetSocketAddress address, CompletableFuture<HttpReply> reply) {
       this.address = address;
       this.reply = reply;
     }
@@ -201,10 +203,10 @@
           .forEach(
               header -> headers.put(header.getKey().toLowerCase(Locale.ROOT), header.getValue()));
       byte[] body = ByteBufUtil.getBytes(response.content());
-      boolean reusable = HttpUtil.isKeepAlive(response) && response.decoderResult().isSuccess();
+      boolean isReusable = HttpUtil.isKeepAlive(response) && response.decoderResult().isSuccess();
       context.pipeline().remove(this);
-      if (reusable) {
-        keep(address, context.channel());
+      if (isReusable) {
+        returnToPool(address, context.channel());
       } else {
         context.close();
       }
--- a/gateway/src/main/java/dev/ibishub/gateway/http/PageServer.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/http/PageServer.java
@@ -23,37 +23,40 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Function;
 
-/** Serves small pages that are made at once: readiness, addresses, metrics. Thread-safe. */
+/**
+ * HTTP server for small pages that are computed without blocking: readiness, addresses, metrics.
+ * Thread-safe.
+ */
 public final class PageServer {
   private static final int MAXIMUM_REQUEST_BYTES = 16_384;
   private static final int BACKLOG = 512;
 
-  /** A connection that sends nothing for this long is closed. Seconds. */
+  /** Time without any received bytes after which a connection is closed, seconds. */
   private static final int IDLE_SECONDS = 30;
 
   private PageServer() {}
 
   /**
-   * A page.
+   * Response to a page request.
    *
    * @param status HTTP status
    * @param contentType media type of the text
    * @param text the body
    */
   public record Page(int status, String contentType, String text) {
-    /** Returns a page of plain text. */
+    /** Returns a plain-text page. */
     public static Page text(int status, String text) {
       return new Page(status, "text/plain; charset=utf-8", text);
     }
   }
 
   /**
-   * Listens at an address.
+   * Starts to listen at an address.
    *
-   * @param group the threads that serve
-   * @param address IP number and port
+   * @param group the event loops that serve connections
+   * @param address IP address and port
    * @param pages makes the page for a request's path and query; must not block
-   * @return the open channel
+   * @return the listening channel
    */
   public static Channel listen(
       EventLoopGroup group, InetSocketAddress address, Function<String, Page> pages) {
@@ -89,8 +92,8 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      boolean readable = request.decoderResult().isSuccess();
-      Page page = readable ? pages.apply(request.uri()) : Page.text(400, "unreadable request\n");
+      boolean isReadable = request.decoderResult().isSuccess();
+      Page page = isReadable ? pages.apply(request.uri()) : Page.text(400, "unreadable request\n");
       byte[] body = page.text().getBytes(StandardCharsets.UTF_8);
       var response =
           new DefaultFullHttpResponse(
@@ -99,17 +102,17 @@
               Unpooled.wrappedBuffer(body));
       response.headers().set(HttpHeaderNames.CONTENT_TYPE, page.contentType());
       response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.length);
-      boolean keep = readable && HttpUtil.isKeepAlive(request);
-      HttpUtil.setKeepAlive(response, keep);
+      boolean keepAlive = isReadable && HttpUtil.isKeepAlive(request);
+      HttpUtil.setKeepAlive(response, keepAlive);
       var written = context.writeAndFlush(response);
-      if (!keep) {
+      if (!keepAlive) {
         written.addListener(ChannelFutureListener.CLOSE);
       }
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // The caller went away or stayed silent; nobody is left to answer.
+      // The client disconnected or timed out, so no response can be sent.
       context.close();
     }
   }
--- a/gateway/src/main/java/dev/ibishub/gateway/http/package-info.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/http/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Small HTTP clients and servers for what a process asks and is asked besides callers' requests.
+ * HTTP client and page server for everything that a process sends and serves besides callers'
+ * requests.
  */
 package dev.ibishub.gateway.http;
