--- a/gateway/src/main/java/dev/ibishub/gateway/front/CallerRequest.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/CallerRequest.java
@@ -4,12 +4,13 @@
 import java.util.OptionalLong;
 
 /**
- * What a caller's headers say.
+ * What the headers of a caller's request say. Used on the platform of ibishub's users; {@code
+ * dev.ibishub.entry.CallerRequest} is the counterpart behind ibishub's own interface.
  *
  * @param attemptId the id that the caller gave this attempt; empty text where it gave none
- * @param waitMillis how long the caller will wait, milliseconds
- * @param key the key that it shows
- * @param lastEventId the last event of a stream that it has
+ * @param waitMillis how long the caller waits for the response, milliseconds
+ * @param key the workspace key that the caller shows
+ * @param lastEventId the id of the last event of a stream that the caller received
  */
 public record CallerRequest(
     String attemptId, OptionalLong waitMillis, Optional<String> key, OptionalLong lastEventId) {}
--- a/gateway/src/main/java/dev/ibishub/gateway/front/RequestContext.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/RequestContext.java
@@ -7,18 +7,19 @@
 import java.util.function.Supplier;
 
 /**
- * What all requests of an entry share.
+ * State that all requests of an entry share. Used on the platform of ibishub's users; {@code
+ * dev.ibishub.entry.RequestContext} is the counterpart behind ibishub's own interface.
  *
- * @param dialect how callers and targets spell things
+ * @param dialect reads and writes the headers of callers and targets
  * @param configuration the configuration in force, empty while none is known
- * @param targets the targets
+ * @param targets the known targets
  * @param budgets the retry budgets
- * @param services what is seen of each service's answers
- * @param crashes finds requests that crash targets
- * @param targetLimits what targets say of how much they take
+ * @param services statistics of each service's responses
+ * @param crashes detects requests that crash targets
+ * @param targetLimits the request limits that targets announce
  * @param entries how many entries share the targets, 1 or more
  * @param stop whether and when this process stops
- * @param metrics what is counted
+ * @param metrics metrics of the request path
  * @param startedAt when this process started, on the monotonic clock, milliseconds
  */
 public record RequestContext(
@@ -34,6 +35,7 @@
     RequestMetrics metrics,
     long startedAt) {
 
+  /** Returns the limits for callers; defaults while no configuration is known. */
   CallerLimits limits() {
     return configuration.get().map(ServingConfiguration::limits).orElse(CallerLimits.DEFAULTS);
   }
--- a/gateway/src/main/java/dev/ibishub/gateway/front/RequestDialect.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/RequestDialect.java
@@ -4,14 +4,17 @@
 import io.netty.handler.codec.http.HttpRequest;
 import io.netty.handler.codec.http.HttpResponse;
 
-/** How callers and targets spell what the request path needs to know. Thread-safe. */
+/**
+ * Translation between the headers that callers and targets use and the values that the request path
+ * needs. Thread-safe.
+ */
 public interface RequestDialect {
-  /** Turns a caller's headers into those for a target; changes {@code headers}. */
+  /** Turns a caller's headers into those for a target, by changing {@code headers}. */
   void address(HttpHeaders headers, TargetRequest request);
 
   /** Reads a caller's request line and headers. */
   CallerRequest read(HttpRequest request);
 
-  /** Reads the status and headers of a target's answer. */
+  /** Reads the status and headers of a target's response. */
   TargetAnswer read(HttpResponse response);
 }
--- a/gateway/src/main/java/dev/ibishub/gateway/front/RetryBudgets.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/RetryBudgets.java
@@ -6,29 +6,33 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** The retry budget of each service. Thread-safe. */
+/**
+ * Retry budgets, one for each service. Thread-safe. Used on the platform of ibishub's users; {@code
+ * dev.ibishub.core.RetryBudget} is the counterpart behind ibishub's own interface.
+ */
 public final class RetryBudgets {
-  /** Windows for which an entry that is not seen any more keeps its part. */
-  private static final int WINDOWS_KEPT = 10;
+  /** Retry windows for which an entry that is no longer seen keeps its part of the budgets. */
+  private static final int ENTRY_COUNT_WINDOWS = 10;
 
   private final Map<String, SharedRetryBudget> byService = new ConcurrentHashMap<>();
   private final LargestSeen entries;
-  private final long sharesFrom;
+  private final long allowanceFrom;
   private volatile RetryLimits limits;
 
   /**
    * Creates budgets that are not used yet.
    *
    * @param startedAt when this process started, on the monotonic clock, milliseconds
-   * @param isFirstLife whether no process stood in its place before
+   * @param isFirstStart whether no process ran in its place before; otherwise it has no part of the
+   *     shared allowance in its first window, as its predecessor may have spent it
    */
-  public RetryBudgets(RetryLimits limits, long startedAt, boolean isFirstLife) {
+  public RetryBudgets(RetryLimits limits, long startedAt, boolean isFirstStart) {
     this.limits = limits;
-    this.sharesFrom = isFirstLife ? startedAt : startedAt + limits.windowMillis();
-    this.entries = new LargestSeen(WINDOWS_KEPT * limits.windowMillis());
+    this.allowanceFrom = isFirstStart ? startedAt : startedAt + limits.windowMillis();
+    this.entries = new LargestSeen(ENTRY_COUNT_WINDOWS * limits.windowMillis());
   }
 
-  /** Changes the limits of all budgets; what was counted stays counted. */
+  /** Changes the limits of all budgets; requests and retries counted so far still count. */
   public void change(RetryLimits newLimits) {
     limits = newLimits;
   }
@@ -43,13 +47,13 @@
     of(service).onRequest(now);
   }
 
-  /** Takes one retry at a service; returns false when the budget is used up. */
+  /** Takes one retry from a service's budget; returns false when the budget is used up. */
   boolean tryRetry(String service, long now) {
     return of(service).tryRetry(now, entries.largest());
   }
 
   private SharedRetryBudget of(String service) {
     return byService.computeIfAbsent(
-        service, any -> new SharedRetryBudget(() -> limits, sharesFrom));
+        service, key -> new SharedRetryBudget(() -> limits, allowanceFrom));
   }
 }
--- a/gateway/src/main/java/dev/ibishub/gateway/front/Routing.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/Routing.java
@@ -12,17 +12,20 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 
-/** What the configuration in force says of one request: where it goes, or why it doesn't. */
+/**
+ * Result of looking up a request in the configuration: the service that it goes to, or why it is
+ * refused.
+ */
 sealed interface Routing {
   /**
    * A request that may go to a service.
    *
-   * @param configurationVersion the configuration that says so
+   * @param configurationVersion version of the configuration that was used
    * @param route its route
-   * @param service the service that was drawn among the route's destinations
-   * @param workspace the workspace whose key it shows
-   * @param engine the figures of the service's engines, where it has any
-   * @param deadline when its answer has to be complete, on the monotonic clock, milliseconds
+   * @param service the service that was chosen among the route's destinations
+   * @param workspace the workspace that the caller's key belongs to; empty without a known key
+   * @param engine the figures of the service's engines; empty for a service without any
+   * @param deadline when its response has to be complete, on the monotonic clock, milliseconds
    */
   record Routed(
       long configurationVersion,
@@ -37,7 +40,10 @@
       return new RetryRule(route.kind(), route.maximumRuns());
     }
 
-    /** Its rank among the requests that wait at an engine; other services have no order. */
+    /**
+     * Returns its priority among the requests that wait at an engine, 0 first; empty for a service
+     * without engines, as such a service has no order.
+     */
     OptionalInt priority() {
       if (engine.isEmpty()) {
         return OptionalInt.empty();
@@ -50,40 +56,42 @@
   /**
    * A request that the configuration does not allow.
    *
-   * @param configurationVersion the configuration that says so
+   * @param configurationVersion version of the configuration that was used
+   * @param code the reason
    */
   record Refused(long configurationVersion, ResultCode code) implements Routing {}
 
   /**
-   * Looks a request up.
+   * Looks up a request.
    *
    * @param arrivedAt when it was complete, on the monotonic clock, milliseconds
-   * @param point a number from 0 to below 1, drawn evenly, for the choice of a destination
+   * @param random a uniformly distributed random number from 0 to below 1, by which the service is
+   *     chosen
    */
   static Routing of(
       ServingConfiguration configuration,
       HttpRequest request,
       CallerRequest caller,
       long arrivedAt,
-      double point) {
-    Optional<Route> found = route(configuration, request);
-    if (found.isEmpty()) {
+      double random) {
+    Optional<Route> matchingRoute = route(configuration, request);
+    if (matchingRoute.isEmpty()) {
       return new Refused(configuration.version(), ResultCode.NOT_FOUND);
     }
-    Route route = found.get();
+    Route route = matchingRoute.get();
     Optional<Workspace> workspace = caller.key().flatMap(configuration::workspace);
     if (route.needsKey() && configuration.usesKeys() && workspace.isEmpty()) {
       return new Refused(configuration.version(), ResultCode.UNAUTHENTICATED);
     }
-    String service = route.destination(point);
-    long wait = Math.min(route.timeoutMillis(), caller.waitMillis().orElse(Long.MAX_VALUE));
+    String service = route.destination(random);
+    long waitMillis = Math.min(route.timeoutMillis(), caller.waitMillis().orElse(Long.MAX_VALUE));
     return new Routed(
         configuration.version(),
         route,
         service,
         workspace,
         Optional.ofNullable(configuration.services().get(service)).flatMap(Service::engine),
-        arrivedAt + wait);
+        arrivedAt + waitMillis);
   }
 
   private static Optional<Route> route(ServingConfiguration configuration, HttpRequest request) {
--- a/gateway/src/main/java/dev/ibishub/gateway/front/StrictRequestDecoder.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/StrictRequestDecoder.java
@@ -6,9 +6,9 @@
 import io.netty.handler.codec.http.HttpRequestDecoder;
 
 /**
- * Reads requests and refuses those that two readers could take for different ones. A request that
- * names both a length and chunks is such a one: a target that goes by the other could take the rest
- * of its body for a second request.
+ * Request decoder that rejects requests which two parsers could read differently. A request with
+ * both a length and chunked framing is one of these: a target that goes by the other of the two
+ * could take the rest of the body for a second request (request smuggling).
  */
 final class StrictRequestDecoder extends HttpRequestDecoder {
   StrictRequestDecoder(CallerLimits limits) {
--- a/gateway/src/main/java/dev/ibishub/gateway/front/TargetAnswer.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/TargetAnswer.java
@@ -5,19 +5,20 @@
 import java.util.OptionalLong;
 
 /**
- * What the head of a target's answer says.
+ * What the head of a target's response says.
  *
  * @param status HTTP status
  * @param notRun whether the target says that it did not run the request
- * @param isSigned whether the target vouches for the answer; a success without is not one
- * @param attemptId the attempt that it answers, where it says so
- * @param isEncoded whether the body is not as the target made it
+ * @param isSigned whether the target has signed the response; a success without a signature is not
+ *     accepted
+ * @param attemptId the attempt that it responds to; empty where it doesn't say
+ * @param isEncoded whether the body has a content encoding, so that it isn't as the target made it
  * @param isEventStream whether the body is a stream of events
- * @param requestsPerSecond the most requests a second that the target takes from all entries
- *     together, where it names such a limit
- * @param restMillis how long the target wants nothing from this entry, milliseconds, where it turns
- *     a request away and says so
- * @param isLeaving whether the target says that it leaves
+ * @param requestsPerSecond the most requests per second that the target takes from all entries
+ *     together; empty where it names no limit
+ * @param restMillis how long the target wants no requests from this entry, milliseconds; empty
+ *     unless it refuses a request and says so
+ * @param isLeaving whether the target says that it is leaving, that is, about to stop
  */
 public record TargetAnswer(
     int status,
@@ -29,7 +30,7 @@
     OptionalDouble requestsPerSecond,
     OptionalLong restMillis,
     boolean isLeaving) {
-  /** Whether the status says success. */
+  /** Whether the status is a 2xx. */
   public boolean isSuccess() {
     return status >= 200 && status < 300;
   }
--- a/gateway/src/main/java/dev/ibishub/gateway/front/TargetRequest.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/TargetRequest.java
@@ -5,13 +5,14 @@
 import java.util.OptionalLong;
 
 /**
- * What one attempt tells its target besides what the caller sent.
+ * What one attempt tells its target in addition to the caller's request.
  *
- * @param targetId the target that is meant; another one at the same address refuses
+ * @param targetId the intended target; another one at the same address refuses the request
  * @param leftMillis time until the request's deadline, milliseconds
- * @param workspace the workspace that the request is for
- * @param lastEventId the event after which a stream is to go on
- * @param priority the request's rank among those that wait at the target, 0 first
+ * @param workspace the workspace that the request is for; empty if unknown
+ * @param lastEventId the event after which a stream resumes; empty to start it at its beginning
+ * @param priority the request's priority among those that wait at the target, 0 first; empty at a
+ *     target without an order
  */
 public record TargetRequest(
     String targetId,
--- a/gateway/src/main/java/dev/ibishub/gateway/front/package-info.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/package-info.java
@@ -1,2 +1,5 @@
-/** The request path: takes callers' requests, sends them to targets and relays the answers. */
+/**
+ * The request path on the platform of ibishub's users: takes callers' requests, sends them to
+ * targets and relays the responses.
+ */
 package dev.ibishub.gateway.front;
--- a/gateway/src/main/java/dev/ibishub/gateway/http/HttpCaller.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/http/HttpCaller.java
@@ -151,7 +151,7 @@
             .schedule(
                 () -> {
                   if (reply.completeExceptionally(
-                      new TimeoutException(call.pathAndQuery() + " had no response in time"))) {
+                      new TimeoutException(call.pathAndQuery() + " had no answer in time"))) {
                     channel.close();
                   }
                 },
--- a/gateway/src/test/java/dev/ibishub/gateway/front/PlainDialect.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/front/PlainDialect.java
@@ -8,7 +8,7 @@
 import java.util.OptionalLong;
 import java.util.stream.Stream;
 
-/** Headers of these tests' own, so that no platform is needed. */
+/** Dialect with short headers for these tests, which do without the platform's. */
 final class PlainDialect implements RequestDialect {
   @Override
   public void address(HttpHeaders headers, TargetRequest request) {
