--- a/gateway/src/main/java/dev/ibishub/gateway/front/CrashMessages.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/CrashMessages.java
@@ -7,22 +7,26 @@
 import dev.ibishub.wire.generated.Frame;
 import java.util.List;
 
-/** What entries tell each other of requests that crash targets, as messages. */
+/**
+ * Conversion of suspected crashes to and from the messages that entries exchange about requests
+ * that crash targets. Messages carry ages instead of times, as each process has a clock of its own.
+ */
 final class CrashMessages {
   private CrashMessages() {}
 
   /**
-   * Makes a message of crashed runs.
+   * Returns a message that reports crashed runs.
    *
    * @param now the sender's time, milliseconds
    */
-  static Frame crashed(List<CrashedRun> runs, long now) {
+  static Frame crashedFrame(List<CrashedRun> runs, long now) {
     CrashReport.Builder report = CrashReport.newBuilder();
     runs.forEach(run -> report.addRuns(message(run, now)));
     return Frame.newBuilder().setCrashReport(report).build();
   }
 
-  static Frame cleared(RequestIdentity request) {
+  /** Returns a message that a request is no longer suspected. */
+  static Frame clearedFrame(RequestIdentity request) {
     return Frame.newBuilder()
         .setCrashReport(CrashReport.newBuilder().addCleared(request.digest()))
         .build();
@@ -38,11 +42,11 @@
   }
 
   /**
-   * Reads a run back.
+   * Reads a run from a message.
    *
    * @param now the receiver's time, milliseconds
    */
-  static CrashedRun run(BrokenRun message, long now) {
+  static CrashedRun toRun(BrokenRun message, long now) {
     return new CrashedRun(
         new RequestIdentity(message.getRequest()),
         message.getTargetLife(),
--- a/gateway/src/main/java/dev/ibishub/gateway/front/CrashWatch.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/CrashWatch.java
@@ -23,31 +23,33 @@
 import java.util.function.Supplier;
 
 /**
- * Finds requests that crash targets, together with the other entries. Thread-safe.
+ * Detector of requests that crash targets, which shares what it finds with the other entries.
+ * Thread-safe.
  *
- * <p>A connection that breaks does not tell a target that crashed from one that lost an answer, so
- * the target is connected to once more: a port at which nothing listens belongs to a process that
- * ended. A crash that leaves the target dark shows later, when it announces its next life.
+ * <p>A broken connection does not show whether the target crashed or only lost a response, so the
+ * target is connected to once more: if the connection is refused, the process at that port has
+ * ended. A crash after which the target's host does not respond at all is detected later, when the
+ * target announces itself after a restart.
  */
 public final class CrashWatch {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** How long a connection may take to come about, milliseconds; usual is 1 to 5. */
-  private static final int CONNECT_MILLIS = 100;
+  /** Connect timeout, milliseconds; connecting usually takes 1 to 5. */
+  private static final int CONNECT_TIMEOUT_MILLIS = 100;
 
   private final CrashBlame blame = new CrashBlame();
   private final Consumer<Frame> broadcast;
 
   /**
-   * Creates a watch that suspects nothing.
+   * Creates a detector without suspicions.
    *
-   * @param broadcast tells all linked entries
+   * @param broadcast sends a message to all linked entries
    */
   public CrashWatch(Consumer<Frame> broadcast) {
     this.broadcast = broadcast;
   }
 
-  /** Whether a request must be sent to no target. */
+  /** Whether a request is quarantined, so that it must not be sent to any target. */
   boolean isQuarantined(Supplier<RequestIdentity> request, long now) {
     return blame.suspectsAny() && blame.isQuarantined(request.get(), now);
   }
@@ -58,18 +60,18 @@
   }
 
   /**
-   * Takes in that a run broke off, and finds out whether its target crashed.
+   * Notes that a run broke off, and checks whether its target crashed.
    *
-   * @param loop where to do so
-   * @param address where the target answers
-   * @param next called on the loop once that is known
+   * @param loop the event loop for the check
+   * @param address where the target listens
+   * @param next called on the loop after the check
    */
   void onBroken(EventLoop loop, CrashedRun run, InetSocketAddress address, Runnable next) {
-    tell(blame.onBroken(run));
+    publish(blame.onBroken(run));
     new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
         .handler(new ChannelInboundHandlerAdapter())
         .connect(address)
         .addListener(
@@ -82,33 +84,36 @@
             });
   }
 
-  /** Takes in that a run was given up because nothing came from its target any more. */
+  /** Notes that a run was abandoned because its target went silent. */
   void onSilent(CrashedRun run) {
-    tell(blame.onBroken(run));
+    publish(blame.onBroken(run));
   }
 
-  /** Takes in that a target answered a request. */
-  void onAnswered(Supplier<RequestIdentity> request) {
+  /** Notes that a target completed a request, which clears it of suspicion. */
+  void onCompleted(Supplier<RequestIdentity> request) {
     if (blame.suspectsAny() && blame.onCompleted(request.get())) {
-      broadcast.accept(CrashMessages.cleared(request.get()));
+      broadcast.accept(CrashMessages.clearedFrame(request.get()));
     }
   }
 
-  /** Takes in that a life of a target ended without notice. */
+  /**
+   * Notes that a target's life ended without notice; see {@link
+   * dev.ibishub.gateway.model.Target#life}.
+   */
   public void onLifeEnded(String targetLife) {
-    tell(blame.onCrashed(targetLife));
+    publish(blame.onCrashed(targetLife));
   }
 
   /**
-   * Takes in what another entry found.
+   * Merges a report of another entry.
    *
-   * @return whether it was news, which others may not have heard
+   * @return whether any of it was new, so that other entries may not have it yet
    */
   public boolean onTold(CrashReport report) {
     long now = MonotonicClock.millis();
     List<CrashedRun> runs =
         report.getRunsList().stream()
-            .map(message -> CrashMessages.run(message, now))
+            .map(message -> CrashMessages.toRun(message, now))
             .filter(blame::onTold)
             .toList();
     runs.forEach(run -> log("crash.told", run));
@@ -120,20 +125,23 @@
     return !runs.isEmpty() || cleared > 0;
   }
 
-  /** Returns all that is suspected, to tell an entry that has just started. */
+  /**
+   * Returns a message with all suspicions, for an entry that has just started; empty if there are
+   * none.
+   */
   public Optional<Frame> snapshot() {
     List<CrashedRun> all = blame.all();
     return all.isEmpty()
         ? Optional.empty()
-        : Optional.of(CrashMessages.crashed(all, MonotonicClock.millis()));
+        : Optional.of(CrashMessages.crashedFrame(all, MonotonicClock.millis()));
   }
 
-  private void tell(List<CrashedRun> news) {
-    if (news.isEmpty()) {
+  private void publish(List<CrashedRun> newRuns) {
+    if (newRuns.isEmpty()) {
       return;
     }
-    news.forEach(run -> log("crash.suspected", run));
-    broadcast.accept(CrashMessages.crashed(news, MonotonicClock.millis()));
+    newRuns.forEach(run -> log("crash.suspected", run));
+    broadcast.accept(CrashMessages.crashedFrame(newRuns, MonotonicClock.millis()));
   }
 
   private void log(String event, CrashedRun run) {
--- a/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
@@ -437,7 +437,7 @@
 
     private void onGoodAnswer() {
       target.load().onAnswer(true, MonotonicClock.millis());
-      context.crashes().onAnswered(Exchange.this::identity);
+      context.crashes().onCompleted(Exchange.this::identity);
       context
           .metrics()
           .onAnswered(routed.service(), pauses.firstPieceMillis(), pauses.longestPauseMillis());
