--- a/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
@@ -386,7 +386,7 @@
       if (said.isLeaving()) {
         context.targets().onSaysLeaving(target);
       }
-      context.targetLimits().onAnswer(target.target().life(), said.requestsPerSecond(), sentAt);
+      context.targetLimits().onResponse(target.target().life(), said.requestsPerSecond(), sentAt);
     }
 
     private void onRestAsked(long millis) {
--- a/gateway/src/main/java/dev/ibishub/gateway/front/LimitMessages.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/LimitMessages.java
@@ -8,42 +8,45 @@
 import java.util.OptionalDouble;
 import java.util.stream.Stream;
 
-/** What entries tell each other of targets' limits, as messages. */
+/**
+ * Conversion of targets' limits to and from the messages that entries exchange. Messages carry ages
+ * instead of times, as each process has a clock of its own.
+ */
 final class LimitMessages {
   private LimitMessages() {}
 
   /**
-   * Makes a message.
+   * Returns a message with limits.
    *
    * @param now the sender's time, milliseconds
    */
-  static Frame frame(List<LimitWord> words, long now) {
+  static Frame frame(List<LimitWord> limits, long now) {
     LimitReport.Builder report = LimitReport.newBuilder();
-    words.forEach(word -> report.addLimits(message(word, now)));
+    limits.forEach(limit -> report.addLimits(message(limit, now)));
     return Frame.newBuilder().setLimitReport(report).build();
   }
 
-  private static TargetLimit message(LimitWord word, long now) {
+  private static TargetLimit message(LimitWord limit, long now) {
     TargetLimit.Builder message =
         TargetLimit.newBuilder()
-            .setTargetLife(word.targetLife())
-            .setAgeMillis(Math.max(0, now - word.saidAt()));
-    word.requestsPerSecond().ifPresent(message::setRequestsPerSecond);
+            .setTargetLife(limit.targetLife())
+            .setAgeMillis(Math.max(0, now - limit.saidAt()));
+    limit.requestsPerSecond().ifPresent(message::setRequestsPerSecond);
     return message.build();
   }
 
   /**
-   * Reads words back; a limit that is no number of requests is left out.
+   * Reads the limits from a message, and leaves out those that are negative or not a number.
    *
    * @param now the receiver's time, milliseconds
    */
-  static Stream<LimitWord> words(LimitReport report, long now) {
+  static Stream<LimitWord> limits(LimitReport report, long now) {
     return report.getLimitsList().stream()
         .filter(message -> message.getRequestsPerSecond() >= 0)
-        .map(message -> word(message, now));
+        .map(message -> toLimit(message, now));
   }
 
-  private static LimitWord word(TargetLimit message, long now) {
+  private static LimitWord toLimit(TargetLimit message, long now) {
     return new LimitWord(
         message.getTargetLife(),
         message.hasRequestsPerSecond()
--- a/gateway/src/main/java/dev/ibishub/gateway/front/LimitWatch.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/LimitWatch.java
@@ -15,7 +15,9 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-/** Keeps the limits that targets name, together with the other entries. Thread-safe. */
+/**
+ * Registry of the request limits that targets announce, shared with the other entries. Thread-safe.
+ */
 public final class LimitWatch {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -24,11 +26,11 @@
   private final Counter sends;
 
   /**
-   * Creates a watch.
+   * Creates a registry.
    *
-   * @param limits what is known of limits
-   * @param broadcast tells all linked entries
-   * @param registry where its metrics are listed
+   * @param limits the known limits
+   * @param broadcast sends a message to all linked entries
+   * @param registry where the metrics are registered
    */
   public LimitWatch(SharedLimits limits, Consumer<Frame> broadcast, PrometheusRegistry registry) {
     this.limits = limits;
@@ -41,12 +43,12 @@
             .register(registry);
   }
 
-  /** Whether a request may be sent to a target now. */
+  /** Whether this entry may send a request to a target now. */
   boolean allows(String targetLife, long now) {
     return limits.allows(targetLife, now);
   }
 
-  /** Counts a request that is sent to a target. */
+  /** Counts a request sent to a target. */
   void onSent(String service, String targetLife, long now) {
     if (limits.isLimited(targetLife)) {
       sends.labelValues(service).inc();
@@ -55,35 +57,38 @@
   }
 
   /**
-   * Takes in what a target says in the head of an answer.
+   * Takes in what the head of a target's response says of its limit.
    *
-   * @param limit requests a second, where it names a limit
+   * @param limit requests per second; empty if the target names no limit
    * @param sentAt when the request was sent, milliseconds
    */
-  void onAnswer(String targetLife, OptionalDouble limit, long sentAt) {
+  void onResponse(String targetLife, OptionalDouble limit, long sentAt) {
     long now = MonotonicClock.millis();
-    Optional<LimitWord> news = limits.onAnswer(targetLife, limit, sentAt, now);
-    news.ifPresent(
-        word -> {
-          log("answer", word);
-          broadcast.accept(LimitMessages.frame(List.of(word), now));
+    Optional<LimitWord> newLimits = limits.onAnswer(targetLife, limit, sentAt, now);
+    newLimits.ifPresent(
+        changed -> {
+          log("answer", changed);
+          broadcast.accept(LimitMessages.frame(List.of(changed), now));
         });
   }
 
   /**
-   * Takes in what targets said to another entry.
+   * Merges limits that targets announced to another entry.
    *
-   * @return whether it was news, which others may not have heard
+   * @return whether any of it was new, so that other entries may not have it yet
    */
   public boolean onTold(LimitReport report) {
     long now = MonotonicClock.millis();
-    List<LimitWord> news =
-        LimitMessages.words(report, now).filter(word -> limits.onWord(word, now)).toList();
-    news.forEach(word -> log("entry", word));
-    return !news.isEmpty();
+    List<LimitWord> newLimits =
+        LimitMessages.limits(report, now).filter(changed -> limits.onWord(changed, now)).toList();
+    newLimits.forEach(changed -> log("entry", changed));
+    return !newLimits.isEmpty();
   }
 
-  /** Takes in which entries send requests, and tells them again what still holds. */
+  /**
+   * Takes in which entries share the limits, and sends them again those that are still announced.
+   * To be called often.
+   */
   public void tick(Set<String> entryHosts, long now) {
     limits.tick(entryHosts, now);
     List<LimitWord> due = limits.takeDue();
@@ -92,7 +97,10 @@
     }
   }
 
-  /** Returns all that is known, to tell an entry that has just started. */
+  /**
+   * Returns a message with all known limits, for an entry that has just started; empty if there are
+   * none.
+   */
   public Optional<Frame> snapshot() {
     List<LimitWord> all = limits.all();
     return all.isEmpty()
@@ -100,12 +108,12 @@
         : Optional.of(LimitMessages.frame(all, MonotonicClock.millis()));
   }
 
-  private static void log(String source, LimitWord word) {
+  private static void log(String source, LimitWord changed) {
     logger.atInfo().log(
         "%s",
-        LogEvent.of(word.requestsPerSecond().isPresent() ? "limit.named" : "limit.ended")
-            .with("target_life", word.targetLife())
-            .with("requests_per_second", word.requestsPerSecond().orElse(0))
+        LogEvent.of(changed.requestsPerSecond().isPresent() ? "limit.named" : "limit.ended")
+            .with("target_life", changed.targetLife())
+            .with("requests_per_second", changed.requestsPerSecond().orElse(0))
             .with("source", source));
   }
 }
