--- a/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
@@ -384,7 +384,7 @@
     public void onAnswer(TargetAnswer said) {
       said.restMillis().ifPresent(this::onRestAsked);
       if (said.isLeaving()) {
-        context.targets().onSaysLeaving(target);
+        context.targets().onLeavingResponse(target);
       }
       context.targetLimits().onResponse(target.target().life(), said.requestsPerSecond(), sentAt);
     }
--- a/gateway/src/main/java/dev/ibishub/gateway/front/TargetDirectory.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/TargetDirectory.java
@@ -24,74 +24,78 @@
 import java.util.stream.Stream;
 
 /**
- * The targets that may get requests, with what is believed of each. Thread-safe by one lock; the
- * lists that it hands out don't change.
+ * Targets that may receive requests, each with its estimated load. Thread-safe by one lock; the
+ * lists that it returns don't change.
  *
- * <p>Of several entries with one address only the newest names a target that lives. A target that
- * ended without a word stays listed for some seconds while its successor is already there; an entry
- * process that starts then sees both, and requests and orders to the first would all be refused
- * (half of the first second's requests after a loss of power).
+ * <p>Of several records with one address only the newest stands for a live target. The record of a
+ * target that ended without notice stays in the store for some seconds while its successor is
+ * already listed. An entry process that starts then reads both, and all requests and orders to the
+ * first would be refused (half of the first second's requests after a loss of power).
  */
 public final class TargetDirectory {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /**
-   * How long a target is still used whose entry lapsed while the store was away, after the store is
-   * back: a live one announces itself again within about two seconds. Milliseconds.
+   * How long a target whose record expired during an outage of the store stays in use after the
+   * store is back, milliseconds. A live target announces itself again within about two seconds.
    */
-  static final long LAPSED_GRACE_MILLIS = 2_200;
+  static final long EXPIRED_GRACE_MILLIS = 2_200;
 
   /**
-   * How long what is believed of a target is kept after its entry is gone, as the same life may
-   * announce itself again. Milliseconds.
+   * How long the load of a target is retained after its record is gone, milliseconds, as the same
+   * life of the target may announce itself again.
    */
-  static final long REMEMBERED_MILLIS = 600_000;
+  static final long LOAD_RETENTION_MILLIS = 600_000;
 
   /**
-   * A gap in what the store said that is longer than this may have made entries lapse; it is under
-   * the three heartbeats after which a silent target's entry is dropped. Milliseconds.
+   * Outage of the store beyond which records may have expired because they could not be renewed,
+   * milliseconds. It is shorter than the three heartbeats after which the record of a silent target
+   * is dropped.
    */
   static final long OUTAGE_MILLIS = 2_000;
 
   private final String ownZone;
   private final Consumer<String> onLifeEnded;
   private final Map<String, Known> known = new HashMap<>();
-  private final Map<String, Dropped> droppedByLife = new HashMap<>();
+  private final Map<String, RetainedLoad> retainedLoadsByLife = new HashMap<>();
   private volatile Map<String, List<Known>> usableByService = Map.of();
   private volatile Map<String, List<Known>> byHost = Map.of();
   private final Map<String, GroupOpenness> groups = new ConcurrentHashMap<>();
 
   /**
-   * A target and what is believed of it.
+   * A target and its estimated load.
    *
    * @param target what it announced
-   * @param load its load; new with each of its lives
-   * @param usedUntil when it is taken as gone, on the monotonic clock; a very late time for a
-   *     target that is announced
-   * @param offset where its newest entry stands among all entries
+   * @param load its load; starts anew with each of its lives, that is, runs of its process
+   * @param usedUntil when it counts as gone, on the monotonic clock, milliseconds; {@link
+   *     Long#MAX_VALUE} for a target with a current record
+   * @param offset the position of its newest record among all records
    */
   public record Known(Target target, TargetLoad load, long usedUntil, long offset) {
-    /** Whether it takes no new requests, by its entry or by its own word in an answer. */
+    /** Whether it takes no new requests, by its record or by one of its responses. */
     boolean isLeaving() {
       return target.leaving() || load.saysLeaving();
     }
 
-    /** Returns where it answers. */
+    /** Returns the address for requests. */
     InetSocketAddress address() {
       return new InetSocketAddress(target.host(), target.port());
     }
 
-    /** Returns the later of two lives at one address. */
-    private static Known later(Known one, Known other) {
-      long started = one.target.startedAtMillis();
-      long otherStarted = other.target.startedAtMillis();
-      boolean saysStart = started > 0 && otherStarted > 0 && started != otherStarted;
-      boolean isLater = saysStart ? started > otherStarted : one.offset > other.offset;
-      return isLater ? one : other;
+    /**
+     * Returns the later of two lives at one address: by their start times if both are known and
+     * differ, else by their records.
+     */
+    private static Known later(Known first, Known second) {
+      long firstStarted = first.target.startedAtMillis();
+      long secondStarted = second.target.startedAtMillis();
+      boolean startsDiffer = firstStarted > 0 && secondStarted > 0 && firstStarted != secondStarted;
+      boolean isLater = startsDiffer ? firstStarted > secondStarted : first.offset > second.offset;
+      return isLater ? first : second;
     }
   }
 
-  private record Dropped(TargetLoad load, long at) {}
+  private record RetainedLoad(TargetLoad load, long at) {}
 
   /**
    * Creates an empty directory.
@@ -106,8 +110,8 @@
    * Creates an empty directory.
    *
    * @param ownZone the failure domain of this process
-   * @param onLifeEnded told of each life of a target that ended without notice, as its successor at
-   *     the same address shows; see {@link Target#life}
+   * @param onLifeEnded called with each life of a target that ended without notice, once its
+   *     successor at the same address is announced; see {@link Target#life}
    */
   public TargetDirectory(String ownZone, Consumer<String> onLifeEnded) {
     this.ownZone = ownZone;
@@ -119,9 +123,9 @@
   }
 
   /**
-   * Takes in what a target announces.
+   * Takes in the record by which a target announces itself.
    *
-   * @param offset where the entry stands among all entries; later ones are higher
+   * @param offset the position of the record among all records; later ones have higher positions
    */
   public synchronized void onAnnounced(Target target, long offset) {
     Known before = known.get(target.id());
@@ -130,7 +134,7 @@
     if (!isNewLife && target.startedAtMillis() < before.target().startedAtMillis()) {
       return;
     }
-    TargetLoad load = isNewLife ? remembered(target.life()) : before.load();
+    TargetLoad load = isNewLife ? takeRetainedLoad(target.life()) : before.load();
     Known announced = new Known(target, load, Long.MAX_VALUE, offset);
     if (isNewLife) {
       predecessors(announced).map(each -> each.target().life()).forEach(onLifeEnded);
@@ -146,20 +150,22 @@
               .with("leaving", target.leaving())
               .with("started_ms", target.startedAtMillis()));
     }
-    boolean isShared =
+    boolean isAddressShared =
         known.values().stream().filter(each -> each.address().equals(announced.address())).count()
             > 1;
-    if (before == null || !before.target().equals(target) || isShared) {
-      publish();
+    if (before == null || !before.target().equals(target) || isAddressShared) {
+      updateIndexes();
     }
   }
 
-  private TargetLoad remembered(String life) {
-    Dropped dropped = droppedByLife.remove(life);
-    return dropped == null ? new TargetLoad() : dropped.load();
+  private TargetLoad takeRetainedLoad(String life) {
+    RetainedLoad retained = retainedLoadsByLife.remove(life);
+    return retained == null ? new TargetLoad() : retained.load();
   }
 
-  /** Returns the targets whose place another one took without their having said that they leave. */
+  /**
+   * Returns the targets that a successor replaced without their having said that they were leaving.
+   */
   private Stream<Known> predecessors(Known successor) {
     return known.values().stream()
         .filter(each -> each.address().equals(successor.address()))
@@ -168,22 +174,22 @@
         .filter(each -> Known.later(each, successor).equals(successor));
   }
 
-  /** Takes in that a target said in an answer that it leaves, whatever its entry says. */
-  public synchronized void onSaysLeaving(Known leaving) {
+  /** Takes in that a target said in a response that it is leaving, whatever its record says. */
+  public synchronized void onLeavingResponse(Known leaving) {
     if (leaving.load().saysLeaving()) {
       return;
     }
     logger.atInfo().log(
         "%s", LogEvent.of("target.says_leaving").with("target", leaving.target().id()));
     leaving.load().onLeaving();
-    publish();
+    updateIndexes();
   }
 
   /**
-   * Takes in that a target's entry is gone.
+   * Takes in that a target's record is gone.
    *
    * @param id the target's id
-   * @param outageMillis how long the store had said nothing before, milliseconds
+   * @param outageMillis how long the store had not responded before, milliseconds
    * @param now the current time, milliseconds
    */
   public synchronized void onDropped(String id, long outageMillis, long now) {
@@ -191,38 +197,38 @@
     if (before == null) {
       return;
     }
-    boolean lapsed = outageMillis > OUTAGE_MILLIS && !before.isLeaving();
+    boolean hasExpired = outageMillis > OUTAGE_MILLIS && !before.isLeaving();
     logger.atInfo().log(
         "%s",
-        LogEvent.of(lapsed ? "target.lapsed" : "target.gone")
+        LogEvent.of(hasExpired ? "target.lapsed" : "target.gone")
             .with("target", id)
             .with("outage_ms", outageMillis));
-    if (lapsed) {
+    if (hasExpired) {
       known.put(
           id,
-          new Known(before.target(), before.load(), now + LAPSED_GRACE_MILLIS, before.offset()));
+          new Known(before.target(), before.load(), now + EXPIRED_GRACE_MILLIS, before.offset()));
       return;
     }
     drop(before, now);
-    publish();
+    updateIndexes();
   }
 
-  /** Drops targets whose grace is over. */
+  /** Drops targets whose grace period has ended, and loads that were retained long enough. */
   public synchronized void tick(long now) {
-    droppedByLife.values().removeIf(dropped -> now - dropped.at() > REMEMBERED_MILLIS);
-    List<Known> over = known.values().stream().filter(each -> each.usedUntil() <= now).toList();
-    if (!over.isEmpty()) {
-      over.forEach(each -> drop(each, now));
-      publish();
+    retainedLoadsByLife.values().removeIf(retained -> now - retained.at() > LOAD_RETENTION_MILLIS);
+    List<Known> expired = known.values().stream().filter(each -> each.usedUntil() <= now).toList();
+    if (!expired.isEmpty()) {
+      expired.forEach(each -> drop(each, now));
+      updateIndexes();
     }
   }
 
   private void drop(Known gone, long now) {
     known.remove(gone.target().id());
-    droppedByLife.put(gone.target().life(), new Dropped(gone.load(), now));
+    retainedLoadsByLife.put(gone.target().life(), new RetainedLoad(gone.load(), now));
   }
 
-  /** Returns the targets of a service that take new requests. */
+  /** Returns the targets of a service that take new requests; empty if there are none. */
   public List<Known> usable(String service) {
     return usableByService.getOrDefault(service, List.of());
   }
@@ -248,17 +254,21 @@
                     .findFirst());
   }
 
-  /** Returns all targets, also those that are leaving, by id. */
+  /** Returns all targets, also those that are leaving, sorted by id. */
   public synchronized List<Known> all() {
     return known.values().stream()
         .sorted(Comparator.comparing(each -> each.target().id()))
         .toList();
   }
 
-  /** Takes in what the target at an IP number said of its work. */
+  /** Takes in a load report from an IP address, which applies to the targets there. */
   public void onReport(String host, TargetReport report) {
     Optional<GroupOpenness> group =
-        report.group().map(word -> groups.computeIfAbsent(word.name(), any -> new GroupOpenness()));
+        report
+            .group()
+            .map(
+                reportedGroup ->
+                    groups.computeIfAbsent(reportedGroup.name(), key -> new GroupOpenness()));
     group.ifPresent(
         openness ->
             openness.onWord(
@@ -271,26 +281,26 @@
             });
   }
 
-  /** Returns the targets at an IP number. */
+  /** Returns the targets at an IP address; empty if there are none. */
   public List<Known> atHost(String host) {
     return byHost.getOrDefault(host, List.of());
   }
 
-  private void publish() {
-    Collection<Known> living =
+  private void updateIndexes() {
+    Collection<Known> current =
         known.values().stream()
             .collect(Collectors.toMap(Known::address, each -> each, Known::later))
             .values();
     Map<String, List<Known>> byService = new HashMap<>();
-    living.stream()
+    current.stream()
         .filter(each -> !each.isLeaving())
         .forEach(
             each ->
                 byService
-                    .computeIfAbsent(each.target().service(), any -> new ArrayList<>())
+                    .computeIfAbsent(each.target().service(), key -> new ArrayList<>())
                     .add(each));
     byService.replaceAll((service, targets) -> List.copyOf(targets));
     usableByService = Map.copyOf(byService);
-    byHost = living.stream().collect(Collectors.groupingBy(each -> each.target().host()));
+    byHost = current.stream().collect(Collectors.groupingBy(each -> each.target().host()));
   }
 }
--- a/gateway/src/test/java/dev/ibishub/gateway/front/TargetDirectoryTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/front/TargetDirectoryTest.java
@@ -15,18 +15,18 @@
   }
 
   @Test
-  void leavingTargetGetsNoNewRequests() {
+  void leavingTargetIsNotUsable() {
     directory.onAnnounced(target(false, 1), 1);
     directory.onAnnounced(target(true, 1), 2);
 
     assertThat(directory.usable("pages")).isEmpty();
   }
 
-  // Guards against a target in use that says only in its answers that it leaves.
+  // Guards against requests to a target that says only in its responses that it is leaving.
   @Test
-  void targetThatSaysInAnAnswerThatItLeavesGetsNoNewRequests() {
+  void targetIsNotUsableInTheLifeInWhichItsResponseSaidLeaving() {
     directory.onAnnounced(target(false, 1), 1);
-    directory.onSaysLeaving(directory.usable("pages").get(0));
+    directory.onLeavingResponse(directory.usable("pages").get(0));
     assertThat(directory.usable("pages")).isEmpty();
 
     directory.onAnnounced(target(false, 1), 2);
@@ -35,9 +35,10 @@
     assertThat(directory.usable("pages")).hasSize(1);
   }
 
-  // Guards against what a target asked for that is forgotten with its entry while it lives on.
+  // Guards against a target's back-off or leaving state that is lost with its record although the
+  // target lives on.
   @Test
-  void targetThatIsAnnouncedAgainInTheSameLifeIsStillLeavingOrResting() {
+  void targetAnnouncedAgainInTheSameLifeKeepsBackOffAndLeavingState() {
     directory.onAnnounced(target(false, 1), 1);
     TargetDirectory.Known first = directory.usable("pages").get(0);
     first.load().onRestAsked(5_000);
@@ -45,36 +46,36 @@
     directory.onAnnounced(target(false, 1), 2);
     assertThat(directory.usable("pages").get(0).load().isResting(2_000)).isTrue();
 
-    directory.onSaysLeaving(first);
+    directory.onLeavingResponse(first);
     directory.onDropped("t1", 0, 1_000);
     directory.onAnnounced(target(false, 1), 3);
     assertThat(directory.usable("pages")).isEmpty();
   }
 
   @Test
-  void droppedTargetIsGoneAtOnceWhileTheStoreAnswers() {
+  void droppedTargetIsNotUsableWhileTheStoreResponds() {
     directory.onAnnounced(target(false, 1), 3);
     directory.onDropped("t1", 500, 1_000);
 
     assertThat(directory.usable("pages")).isEmpty();
   }
 
-  // All requests are refused for seconds although every target is sound. The store was away; the
-  // targets could not renew their entries, so these lapsed, and their end was the first thing that
-  // was read when it came back.
+  // Guards against refusing all requests for seconds although every target is healthy. During an
+  // outage of the store, targets can't renew their records, so these expire, and their end is the
+  // first thing that is read once the store is back.
   @Test
-  void targetWhoseEntryLapsedInAnOutageIsUsedUntilItCanHaveRenewedIt() {
+  void targetWhoseRecordExpiredInAnOutageIsUsableForAGracePeriod() {
     directory.onAnnounced(target(false, 1), 4);
     directory.onDropped("t1", 6_000, 10_000);
     directory.tick(12_000);
     assertThat(directory.usable("pages")).hasSize(1);
 
-    directory.tick(10_000 + TargetDirectory.LAPSED_GRACE_MILLIS);
+    directory.tick(10_000 + TargetDirectory.EXPIRED_GRACE_MILLIS);
     assertThat(directory.usable("pages")).isEmpty();
   }
 
   @Test
-  void renewedEntryEndsTheGrace() {
+  void targetWithRenewedRecordIsUsableAfterTheGracePeriod() {
     directory.onAnnounced(target(false, 1), 5);
     directory.onDropped("t1", 6_000, 10_000);
     directory.onAnnounced(target(false, 1), 6);
@@ -83,10 +84,10 @@
     assertThat(directory.usable("pages")).hasSize(1);
   }
 
-  // A target that came back sound gets no requests. It started again under its old id, and was
+  // Guards against a restarted target that receives no requests: under its old id it would be
   // judged by the failures of its earlier life.
   @Test
-  void laterStartUnderTheSameIdBeginsAnew() {
+  void restartUnderTheSameIdClearsSuspension() {
     directory.onAnnounced(target(false, 1), 7);
     directory.usable("pages").get(0).load().onUnreachable(0);
     directory.onAnnounced(target(false, 2), 8);
@@ -98,11 +99,11 @@
     return new Target(id, "pages", "10.0.0.1", port, "zone-a", 6, false, startedAt);
   }
 
-  // Half of all requests are refused in the first seconds after a loss of power. Targets had
-  // started anew under other ids; the entries of their earlier lives had not lapsed yet, and
-  // whoever read both sent to both.
+  // Guards against refused requests after a loss of power, half of them in the first seconds.
+  // Targets had restarted under new ids while the records of their earlier lives had not expired,
+  // and an entry that read both sent requests to both.
   @Test
-  void targetWhoseAddressHasANewerEntryGetsNothing() {
+  void targetWhoseAddressHasANewerRecordIsNotUsable() {
     directory.onAnnounced(at("new", 80, 0), 8);
     directory.onAnnounced(at("old", 80, 0), 3);
     directory.onAnnounced(at("beside", 81, 0), 4);
@@ -114,7 +115,7 @@
   }
 
   @Test
-  void laterStartCountsMoreThanALateEntry() {
+  void laterStartTakesPrecedenceOverLaterRecord() {
     directory.onAnnounced(at("new", 80, 2_000), 3);
     directory.onAnnounced(at("old", 80, 1_000), 8);
 
@@ -124,7 +125,7 @@
   }
 
   @Test
-  void renewedEntryTakesItsAddressBack() {
+  void targetWithRenewedRecordTakesItsAddressBack() {
     directory.onAnnounced(at("a", 80, 0), 3);
     directory.onAnnounced(at("b", 80, 0), 4);
     directory.onAnnounced(at("a", 80, 0), 5);
@@ -135,7 +136,7 @@
   }
 
   @Test
-  void entryOfAnEarlierLifeChangesNothing() {
+  void recordOfAnEarlierLifeIsIgnored() {
     directory.onAnnounced(target(false, 2), 9);
     directory.onAnnounced(target(true, 1), 10);
 
@@ -143,7 +144,7 @@
   }
 
   @Test
-  void lifeThatEndedWithoutNoticeIsToldWhenItsSuccessorShows() {
+  void reportsLifeThatEndedWithoutNoticeWhenItsSuccessorIsAnnounced() {
     List<String> ended = new ArrayList<>();
     TargetDirectory watched = new TargetDirectory("zone-a", ended::add);
     watched.onAnnounced(at("t1", 80, 1), 1);
@@ -157,7 +158,7 @@
   }
 
   @Test
-  void lifeThatWasLeavingEndedWithNotice() {
+  void doesNotReportEndOfLeavingLife() {
     List<String> ended = new ArrayList<>();
     TargetDirectory watched = new TargetDirectory("zone-a", ended::add);
     watched.onAnnounced(target(true, 1), 1);
