--- a/gateway/src/main/java/dev/ibishub/gateway/front/AttemptRelay.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/AttemptRelay.java
@@ -98,7 +98,7 @@
   public void onHead(HttpResponse response) {
     answer = dialect.read(response);
     headers = new DefaultHttpHeaders().set(response.headers());
-    HopHeaders.removeFrom(headers);
+    HopByHopHeaders.removeFrom(headers);
     boolean isOthers = answer.attemptId().map(id -> !id.equals(attemptId)).orElse(false);
     if (!isOthers && answer.status() != MISDIRECTED) {
       listener.onAnswer(answer);
--- a/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
@@ -58,7 +58,7 @@
   private final CallerRequest caller;
   private final ExchangeLog log;
   private final long arrivedAt = MonotonicClock.millis();
-  private final PauseWatch pauses = new PauseWatch(arrivedAt);
+  private final ResponseTimings timings = new ResponseTimings(arrivedAt);
   private final Set<String> tried = new HashSet<>();
   private final List<Attempt> attempts = new ArrayList<>();
 
@@ -245,7 +245,7 @@
   }
 
   private FullHttpRequest copyFor(TargetDirectory.Known target, long now) {
-    FullHttpRequest copy = HopHeaders.endToEndCopy(request);
+    FullHttpRequest copy = HopByHopHeaders.endToEndCopy(request);
     context
         .dialect()
         .address(
@@ -390,7 +390,7 @@
     }
 
     private void onRestAsked(long millis) {
-      log.restAsked(target, millis);
+      log.backOffRequested(target, millis);
       target.load().onRestAsked(MonotonicClock.millis() + millis);
     }
 
@@ -398,7 +398,7 @@
     public void onWhole(int status, HttpHeaders headers, byte[] body) {
       endOthers();
       long now = MonotonicClock.millis();
-      pauses.onPiece(now);
+      timings.onPiece(now);
       context.services().answers(routed.service()).onGood(now - sentAt);
       onGoodAnswer();
       answer.whole(status, headers, body);
@@ -420,7 +420,7 @@
       }
       long now = MonotonicClock.millis();
       silence.onPiece(now);
-      pauses.onPiece(now);
+      timings.onPiece(now);
       context.services().streams(routed.service()).onPiece(now);
       answer.part(bytes);
       if (!answer.isWritable()) {
@@ -440,8 +440,8 @@
       context.crashes().onCompleted(Exchange.this::identity);
       context
           .metrics()
-          .onAnswered(routed.service(), pauses.firstPieceMillis(), pauses.longestPauseMillis());
-      log.answered(routed.route(), pauses, sends);
+          .onResponse(routed.service(), timings.firstPieceMillis(), timings.longestPauseMillis());
+      log.logIfLate(routed.route(), timings, sends);
       end("ok");
     }
 
--- a/gateway/src/main/java/dev/ibishub/gateway/front/ExchangeLog.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/ExchangeLog.java
@@ -9,8 +9,8 @@
 import java.util.function.IntSupplier;
 
 /**
- * The log lines of one request, each with what its decision went by. Keys and bodies never appear.
- * Not thread-safe.
+ * Log lines of one request, each with the facts that its decision went by. Keys and bodies are
+ * never logged. Not thread-safe.
  */
 final class ExchangeLog {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -43,33 +43,35 @@
     target = chosen;
   }
 
-  /** Says how long a target that turned the request away wants nothing from this entry. */
-  void restAsked(TargetDirectory.Known asking, long restMillis) {
+  /**
+   * Logs that a target refused the request, and for how long it wants no requests from this entry.
+   */
+  void backOffRequested(TargetDirectory.Known refusing, long backOffMillis) {
     logger.atInfo().log(
         "%s",
         LogEvent.of("target.asks_rest")
             .request(attemptId)
-            .with("target", asking.target().id())
-            .with("rest_ms", restMillis));
+            .with("target", refusing.target().id())
+            .with("rest_ms", backOffMillis));
   }
 
-  /** Says so where an answer came later than its route wants. */
-  void answered(Route asked, PauseWatch pauses, int sends) {
-    if (pauses.isLate(asked.aimMillis(), asked.longestPauseMillis())) {
+  /** Logs a successful response that was later than its route aims for. */
+  void logIfLate(Route matchedRoute, ResponseTimings timings, int sends) {
+    if (timings.isLate(matchedRoute.aimMillis(), matchedRoute.longestPauseMillis())) {
       ended(
           "request.late",
           ResultCode.OK,
           "first piece after %d ms of %d, longest pause %d ms of %d"
               .formatted(
-                  pauses.firstPieceMillis(),
-                  asked.aimMillis(),
-                  pauses.longestPauseMillis(),
-                  asked.longestPauseMillis()),
+                  timings.firstPieceMillis(),
+                  matchedRoute.aimMillis(),
+                  timings.longestPauseMillis(),
+                  matchedRoute.longestPauseMillis()),
           sends);
     }
   }
 
-  void attemptFailed(AttemptOutcome outcome, String cause, boolean again, int sends) {
+  void attemptFailed(AttemptOutcome outcome, String cause, boolean isRetried, int sends) {
     logger.atInfo().log(
         "%s",
         LogEvent.of("attempt.failed")
@@ -77,7 +79,7 @@
             .with("target", targetId())
             .with("outcome", outcome)
             .with("cause", cause)
-            .with("again", again)
+            .with("again", isRetried)
             .with("sends", sends)
             .with("after_ms", MonotonicClock.millis() - arrivedAt));
   }
@@ -102,7 +104,7 @@
     return target == null ? "" : target.target().id();
   }
 
-  /** What is believed of the target's load, and whether by its own word. */
+  /** Describes the load of the target, and whether it was reported by the target or estimated. */
   private String loadOfTarget() {
     long now = MonotonicClock.millis();
     return "%.0f %s"
--- a/gateway/src/main/java/dev/ibishub/gateway/front/HopHeaders.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/HopByHopHeaders.java
@@ -9,8 +9,11 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Headers that concern one connection only and are never passed on (RFC 9110, section 7.6.1). */
-final class HopHeaders {
+/**
+ * Hop-by-hop headers: those that concern one connection only and are never forwarded (RFC 9110,
+ * section 7.6.1).
+ */
+final class HopByHopHeaders {
   private static final List<CharSequence> NAMES =
       List.of(
           HttpHeaderNames.CONNECTION,
@@ -25,9 +28,12 @@
           "keep-alive",
           "proxy-connection");
 
-  private HopHeaders() {}
+  private HopByHopHeaders() {}
 
-  /** Copies a request for another connection, with its body in one piece. */
+  /**
+   * Copies a request for another connection, without hop-by-hop headers and with its body in one
+   * piece.
+   */
   static FullHttpRequest endToEndCopy(FullHttpRequest request) {
     FullHttpRequest copy =
         new DefaultFullHttpRequest(
@@ -47,9 +53,10 @@
     return copy;
   }
 
+  /** Removes the hop-by-hop headers and those that {@code Connection} lists. */
   static void removeFrom(HttpHeaders headers) {
-    List<String> named = headers.getAll(HttpHeaderNames.CONNECTION);
-    named.stream()
+    List<String> connectionHeaders = headers.getAll(HttpHeaderNames.CONNECTION);
+    connectionHeaders.stream()
         .flatMap(value -> Arrays.stream(value.split(",")))
         .map(String::strip)
         .filter(name -> !name.isEmpty())
--- a/gateway/src/main/java/dev/ibishub/gateway/front/RequestMetrics.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/RequestMetrics.java
@@ -4,7 +4,7 @@
 import io.prometheus.metrics.core.metrics.Histogram;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
-/** What is counted on the request path. Thread-safe. */
+/** Metrics of the request path. Thread-safe. */
 public final class RequestMetrics {
   private final Counter requests;
   private final Counter attempts;
@@ -14,7 +14,7 @@
   /**
    * Creates the metrics.
    *
-   * @param registry where they are listed
+   * @param registry where they are registered
    */
   public RequestMetrics(PrometheusRegistry registry) {
     requests =
@@ -55,7 +55,7 @@
     attempts.labelValues(service, outcome).inc();
   }
 
-  void onAnswered(String service, long firstPieceMillis, long longestPauseMillis) {
+  void onResponse(String service, long firstPieceMillis, long longestPauseMillis) {
     firstPiece.labelValues(service).observe(firstPieceMillis / 1_000.0);
     longestPause.labelValues(service).observe(longestPauseMillis / 1_000.0);
   }
--- a/gateway/src/main/java/dev/ibishub/gateway/front/PauseWatch.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/ResponseTimings.java
@@ -1,7 +1,10 @@
 package dev.ibishub.gateway.front;
 
-/** Measures what a caller sees of an answer: the first piece and the longest pause after it. */
-final class PauseWatch {
+/**
+ * Timings of a response as its caller sees them: when the first piece came, and the longest pause
+ * between pieces. Not thread-safe.
+ */
+final class ResponseTimings {
   private static final long NONE = -1;
 
   private final long arrivedAt;
@@ -9,11 +12,11 @@
   private long lastAt = NONE;
   private long longestPauseMillis;
 
-  PauseWatch(long arrivedAt) {
+  ResponseTimings(long arrivedAt) {
     this.arrivedAt = arrivedAt;
   }
 
-  /** Notes a piece that goes out to the caller. */
+  /** Notes a piece that is sent to the caller. */
   void onPiece(long now) {
     if (firstAt == NONE) {
       firstAt = now;
@@ -23,16 +26,19 @@
     lastAt = now;
   }
 
-  /** Returns the time from the request's arrival to its first piece, milliseconds. */
+  /**
+   * Returns the time from the request's arrival to its first piece, milliseconds; 0 before that.
+   */
   long firstPieceMillis() {
     return firstAt == NONE ? 0 : firstAt - arrivedAt;
   }
 
+  /** Returns the longest time between two pieces, milliseconds; 0 before the second. */
   long longestPauseMillis() {
     return longestPauseMillis;
   }
 
-  /** Whether an answer was later than wanted; an aim of 0 is none. */
+  /** Whether the response was later than aimed for. Aims are milliseconds; 0 means none. */
   boolean isLate(long aimMillis, long pauseAimMillis) {
     return (aimMillis > 0 && firstPieceMillis() > aimMillis)
         || (pauseAimMillis > 0 && longestPauseMillis > pauseAimMillis);
