--- a/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
@@ -210,7 +210,7 @@
     attempt.relay =
         AttemptRelay.start(
             loop, context.dialect(), target.address(), copyFor(target, now), attempt);
-    attempt.silence.start(routed, now);
+    attempt.silenceMonitor.start(routed, now);
   }
 
   /** Asks one more target beside those that are silent, where the request may run there too. */
@@ -296,21 +296,22 @@
     private final TargetDirectory.Known target;
     private final long sentAt;
     private AttemptRelay relay;
-    private final SilenceWatch silence;
+    private final SilenceMonitor silenceMonitor;
     private boolean isSilent;
 
     Attempt(TargetDirectory.Known target, long sentAt) {
       this.target = target;
       this.sentAt = sentAt;
-      this.silence =
-          new SilenceWatch(
+      this.silenceMonitor =
+          new SilenceMonitor(
               loop,
               context.services(),
               routed.service(),
-              new SilenceWatch.Listener(this::isQueueing, this::onPageSilent, this::onStreamLost));
+              new SilenceMonitor.Listener(
+                  this::isQueueing, this::onHedgeDue, this::onStreamSilent));
     }
 
-    private void onPageSilent() {
+    private void onHedgeDue() {
       if (attempts.contains(this) && !relay.isAnswering()) {
         isSilent = true;
         sendBeside();
@@ -324,7 +325,7 @@
           .orElse(false);
     }
 
-    private void onStreamLost() {
+    private void onStreamSilent() {
       if (attempts.contains(this)) {
         moveElsewhere(MonotonicClock.millis());
       }
@@ -351,7 +352,7 @@
 
     /** Ends the attempt, whatever it still brings. */
     void end(String outcome) {
-      silence.stop();
+      silenceMonitor.stop();
       relay.cancel();
       attempts.remove(this);
       target.load().onEnded();
@@ -399,7 +400,7 @@
       endOthers();
       long now = MonotonicClock.millis();
       timings.onPiece(now);
-      context.services().answers(routed.service()).onGood(now - sentAt);
+      context.services().responseTimes(routed.service()).onGood(now - sentAt);
       onGoodAnswer();
       answer.whole(status, headers, body);
       done("ok");
@@ -419,9 +420,9 @@
         lastEventId = eventId;
       }
       long now = MonotonicClock.millis();
-      silence.onPiece(now);
+      silenceMonitor.onPiece(now);
       timings.onPiece(now);
-      context.services().streams(routed.service()).onPiece(now);
+      context.services().streamProgress(routed.service()).onPiece(now);
       answer.part(bytes);
       if (!answer.isWritable()) {
         relay.setReading(false);
--- a/gateway/src/main/java/dev/ibishub/gateway/front/ServiceWatch.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/ServiceWatch.java
@@ -5,18 +5,18 @@
 import java.util.Map;
 import java.util.concurrent.ConcurrentHashMap;
 
-/** What this entry sees of each service's answers. Thread-safe. */
+/** Statistics of each service's responses, as this entry sees them. Thread-safe. */
 public final class ServiceWatch {
-  private final Map<String, StreamProgress> streams = new ConcurrentHashMap<>();
-  private final Map<String, AnswerTimes> answers = new ConcurrentHashMap<>();
+  private final Map<String, StreamProgress> streamProgress = new ConcurrentHashMap<>();
+  private final Map<String, AnswerTimes> responseTimes = new ConcurrentHashMap<>();
 
-  /** Returns whether a service's streams move. */
-  StreamProgress streams(String service) {
-    return streams.computeIfAbsent(service, any -> new StreamProgress());
+  /** Returns the progress of a service's streams. */
+  StreamProgress streamProgress(String service) {
+    return streamProgress.computeIfAbsent(service, key -> new StreamProgress());
   }
 
-  /** Returns how long a service's good answers take that are no streams. */
-  AnswerTimes answers(String service) {
-    return answers.computeIfAbsent(service, any -> new AnswerTimes());
+  /** Returns the durations of a service's successful responses other than streams. */
+  AnswerTimes responseTimes(String service) {
+    return responseTimes.computeIfAbsent(service, key -> new AnswerTimes());
   }
 }
