--- a/gateway/src/main/java/dev/ibishub/gateway/front/TargetCall.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/TargetCall.java
@@ -28,12 +28,12 @@
  * One attempt at one target, on a connection of its own. Runs on the event loop of the caller's
  * connection; not thread-safe.
  *
- * <p>A connection is never used twice. A target may send a second answer late, or bytes after the
- * end of its answer; on a connection used again they would be taken for the next request's answer.
- * Opening one costs a round trip within the deployment.
+ * <p>Connections are never reused. A target may send a second response late, or bytes after the end
+ * of its response; on a reused connection these would be taken for the response to the next
+ * request. Opening a connection costs one round trip within the deployment.
  */
 final class TargetCall {
-  /** How long a connection may take to come about, milliseconds; usual is 1 to 5. */
+  /** Connect timeout, milliseconds; connecting usually takes 1 to 5. */
   static final int CONNECT_TIMEOUT_MILLIS = 350;
 
   private static final int MAXIMUM_HEAD_BYTES = 65_536;
@@ -45,21 +45,26 @@
   private final Listener listener;
   private Channel channel;
   private boolean isOver;
-  private boolean isInterim;
+  private boolean isInterimResponse;
 
-  /** Told what happens; nothing follows {@code onEnd}, {@code onBroken} and {@code onNotSent}. */
+  /**
+   * Receives the events of the call; nothing follows {@code onEnd}, {@code onBroken} or {@code
+   * onNotSent}.
+   */
   interface Listener {
     void onHead(HttpResponse response);
 
     void onBody(byte[] bytes);
 
-    /** The answer is complete. */
+    /** Called when the response is complete. */
     void onEnd();
 
-    /** The connection ended, or the bytes were no answer, before the answer was complete. */
+    /**
+     * Called when the connection ended or invalid bytes arrived before the response was complete.
+     */
     void onBroken(String cause);
 
-    /** No connection came about, so the target has seen nothing. */
+    /** Called when no connection was established, so that the target has received nothing. */
     void onNotSent(String cause);
   }
 
@@ -71,13 +76,13 @@
    * Starts an attempt.
    *
    * @param loop the event loop to run on
-   * @param address where the target answers
-   * @param request what to send; released here in any case
+   * @param address where the target listens
+   * @param request the request to send; released by this class in any case
    */
   static TargetCall start(
       EventLoop loop, InetSocketAddress address, FullHttpRequest request, Listener listener) {
     TargetCall call = new TargetCall(listener);
-    boolean isHead = request.method().equals(HttpMethod.HEAD);
+    boolean isHeadRequest = request.method().equals(HttpMethod.HEAD);
     ChannelFuture connecting =
         new Bootstrap()
             .group(loop)
@@ -91,26 +96,26 @@
                     created
                         .pipeline()
                         .addLast(new HttpRequestEncoder())
-                        .addLast(new AnswerDecoder(isHead))
-                        .addLast(call.new AnswerHandler());
+                        .addLast(new ResponseDecoder(isHeadRequest))
+                        .addLast(call.new ResponseHandler());
                   }
                 })
             .connect(address);
     call.channel = connecting.channel();
-    // A connection may fail before this method returns; the listener must not hear of it earlier.
+    // Connecting may fail before this method returns; the listener must not be called earlier.
     connecting.addListener(
         future ->
             loop.execute(() -> call.onConnected(future.isSuccess(), future.cause(), request)));
     return call;
   }
 
-  /** Ends the attempt; the target sees its connection close. Nothing is told any more. */
+  /** Cancels the attempt: closes the connection and stops calling the listener. */
   void cancel() {
     isOver = true;
     channel.close();
   }
 
-  /** Stops or resumes taking bytes, to hold a target back while its caller reads slowly. */
+  /** Stops or resumes reading, as backpressure on the target while its caller reads slowly. */
   void setReading(boolean reading) {
     channel.config().setAutoRead(reading);
   }
@@ -132,12 +137,12 @@
         .addListener(
             written -> {
               if (!written.isSuccess()) {
-                breakOff("request not written: " + written.cause());
+                fail("request not written: " + written.cause());
               }
             });
   }
 
-  private void breakOff(String cause) {
+  private void fail(String cause) {
     if (!isOver) {
       end();
       listener.onBroken(cause);
@@ -149,52 +154,55 @@
     channel.close();
   }
 
-  /** Knows that the answer to a HEAD request has no body, whatever its length says. */
-  private static final class AnswerDecoder extends HttpResponseDecoder {
-    private final boolean isHead;
+  /**
+   * Decoder that expects no body in the response to a HEAD request, whatever its length header
+   * says.
+   */
+  private static final class ResponseDecoder extends HttpResponseDecoder {
+    private final boolean isHeadRequest;
 
-    AnswerDecoder(boolean isHead) {
+    ResponseDecoder(boolean isHeadRequest) {
       super(DECODING);
-      this.isHead = isHead;
+      this.isHeadRequest = isHeadRequest;
     }
 
     @Override
     protected boolean isContentAlwaysEmpty(HttpMessage message) {
-      return isHead || super.isContentAlwaysEmpty(message);
+      return isHeadRequest || super.isContentAlwaysEmpty(message);
     }
   }
 
-  private final class AnswerHandler extends ChannelInboundHandlerAdapter {
+  private final class ResponseHandler extends ChannelInboundHandlerAdapter {
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
       try {
         if (!isOver) {
-          take(message);
+          handle(message);
         }
       } finally {
         ReferenceCountUtil.release(message);
       }
     }
 
-    private void take(Object message) {
+    private void handle(Object message) {
       if (message instanceof HttpResponse response) {
         if (!response.decoderResult().isSuccess()) {
-          breakOff("not an HTTP answer: " + response.decoderResult().cause());
+          fail("not an HTTP answer: " + response.decoderResult().cause());
           return;
         }
-        isInterim = response.status().code() < HttpResponseStatus.OK.code();
-        if (!isInterim) {
+        isInterimResponse = response.status().code() < HttpResponseStatus.OK.code();
+        if (!isInterimResponse) {
           listener.onHead(response);
         }
       }
-      if (!isOver && !isInterim && message instanceof HttpContent content) {
-        takeContent(content);
+      if (!isOver && !isInterimResponse && message instanceof HttpContent content) {
+        handleContent(content);
       }
     }
 
-    private void takeContent(HttpContent content) {
+    private void handleContent(HttpContent content) {
       if (!content.decoderResult().isSuccess()) {
-        breakOff("broken framing: " + content.decoderResult().cause());
+        fail("broken framing: " + content.decoderResult().cause());
         return;
       }
       ByteBuf bytes = content.content();
@@ -209,14 +217,14 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      breakOff("connection closed");
+      fail("connection closed");
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // A reset comes here before the decoder would take the closed connection for the end of an
-      // answer without a length; such an answer is not complete.
-      breakOff("connection failed: " + cause);
+      // A reset is reported here before the decoder would take the closed connection for the end of
+      // a response without a length; such a response is incomplete.
+      fail("connection failed: " + cause);
     }
   }
 }
