--- a/gateway/src/main/java/dev/ibishub/gateway/front/AttemptRelay.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/AttemptRelay.java
@@ -12,16 +12,16 @@
 import java.util.OptionalLong;
 
 /**
- * Judges what one attempt's target sends: passes good answers on, tells failures apart. Runs on one
- * event loop; not thread-safe.
+ * Relay of one attempt's response from the target to the caller, which also classifies failures.
+ * Runs on one event loop; not thread-safe.
  *
- * <p>An answer of moderate size is passed on only when it is whole, so that one that breaks off can
- * still be replaced by another target's. Of an event stream only whole events are passed on, each
- * once and in order.
+ * <p>A response of moderate size is buffered and passed on only when it is complete, so that
+ * another target's response can still replace one that breaks off. Of an event stream only whole
+ * events are passed on, each once and in order.
  */
 final class AttemptRelay implements TargetCall.Listener {
-  /** An answer beyond this size is passed on as it comes. Bytes. */
-  private static final int HELD_BYTES = 256 << 10;
+  /** Size beyond which a successful response is passed on as it arrives, bytes. */
+  private static final int MAXIMUM_BUFFERED_BYTES = 256 << 10;
 
   private static final int MISDIRECTED = 421;
   private static final int REQUEST_TIMEOUT = 408;
@@ -31,34 +31,41 @@
   private final RequestDialect dialect;
   private final Listener listener;
   private final String attemptId;
-  private final ByteArrayOutputStream held = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
   private final EventSplitter splitter = new EventSplitter();
   private TargetCall call;
-  private TargetAnswer answer;
+  private TargetAnswer response;
   private HttpHeaders headers;
-  private boolean passesOn;
+  private boolean isPassingThrough;
   private boolean isOver;
 
-  /** A failure that the target answered with. */
+  /** A complete error response of the target. */
   @SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
   record Failure(int status, HttpHeaders headers, byte[] body) {}
 
-  /** Told what comes of the attempt. Nothing follows a whole answer, an end or a failure. */
+  /** Receives the result of the attempt. Nothing follows a whole response, an end or a failure. */
   interface Listener {
-    /** The last event that the caller has. */
+    /** Returns the id of the last event that the caller received; empty for none. */
     OptionalLong lastEventId();
 
-    /** The target that was meant has begun to answer, well or not; comes first. */
-    void onAnswer(TargetAnswer answer);
+    /** Called first, when the intended target starts to respond, whatever the status. */
+    void onResponse(TargetAnswer response);
 
-    void onWhole(int status, HttpHeaders headers, byte[] body);
+    /** Called with a complete response, in place of the calls below. */
+    void onWholeResponse(int status, HttpHeaders headers, byte[] body);
 
+    /**
+     * Called before the first piece of a response that is passed on as it arrives; for an event
+     * stream, before each event and before the end.
+     */
     void onBegin(int status, HttpHeaders headers);
 
-    void onPart(byte[] bytes, OptionalLong eventId);
+    /** Called with a piece of the body; for an event stream, with one event and its id. */
+    void onPiece(byte[] bytes, OptionalLong eventId);
 
     void onEnd();
 
+    /** Called when the attempt failed, with the error response if the target sent one. */
     void onFailure(AttemptOutcome outcome, String cause, Optional<Failure> failure);
   }
 
@@ -85,9 +92,9 @@
     call.cancel();
   }
 
-  /** Whether the target has begun to answer. */
-  boolean isAnswering() {
-    return answer != null;
+  /** Whether the target has started to respond. */
+  boolean isResponding() {
+    return response != null;
   }
 
   void setReading(boolean reading) {
@@ -95,24 +102,27 @@
   }
 
   @Override
-  public void onHead(HttpResponse response) {
-    answer = dialect.read(response);
-    headers = new DefaultHttpHeaders().set(response.headers());
+  public void onHead(HttpResponse head) {
+    response = dialect.read(head);
+    headers = new DefaultHttpHeaders().set(head.headers());
     HopByHopHeaders.removeFrom(headers);
-    boolean isOthers = answer.attemptId().map(id -> !id.equals(attemptId)).orElse(false);
-    if (!isOthers && answer.status() != MISDIRECTED) {
-      listener.onAnswer(answer);
+    boolean isForOtherAttempt = response.attemptId().map(id -> !id.equals(attemptId)).orElse(false);
+    if (!isForOtherAttempt && response.status() != MISDIRECTED) {
+      listener.onResponse(response);
     }
-    if (isOthers) {
-      fail(AttemptOutcome.BROKEN, "answer to another attempt " + answer.attemptId().orElse(""));
-    } else if (answer.status() == MISDIRECTED) {
+    if (isForOtherAttempt) {
+      fail(AttemptOutcome.BROKEN, "answer to another attempt " + response.attemptId().orElse(""));
+    } else if (response.status() == MISDIRECTED) {
       fail(AttemptOutcome.MISDIRECTED, "another target answered");
-    } else if (answer.notRun()) {
-      fail(AttemptOutcome.REFUSED, "target refused with " + answer.status());
-    } else if (answer.isSuccess() && (!answer.isSigned() || answer.isEncoded())) {
-      fail(AttemptOutcome.BROKEN, "success that the target does not vouch for");
-    } else if (promisesNotRun(answer.status())) {
-      fail(AttemptOutcome.BROKEN, "status " + answer.status() + " of a request that may have run");
+    } else if (response.notRun()) {
+      fail(AttemptOutcome.REFUSED, "target refused with " + response.status());
+    } else if (response.isSuccess() && (!response.isSigned() || response.isEncoded())) {
+      fail(
+          AttemptOutcome.BROKEN,
+          "success without the target's signature or with a content encoding");
+    } else if (impliesNotRun(response.status())) {
+      fail(
+          AttemptOutcome.BROKEN, "status " + response.status() + " of a request that may have run");
     }
   }
 
@@ -123,10 +133,10 @@
     }
     if (isStream()) {
       onEvents(bytes);
-    } else if (passesOn) {
-      listener.onPart(bytes, OptionalLong.empty());
+    } else if (isPassingThrough) {
+      listener.onPiece(bytes, OptionalLong.empty());
     } else {
-      hold(bytes);
+      buffer(bytes);
     }
   }
 
@@ -140,14 +150,14 @@
       return;
     }
     isOver = true;
-    if (passesOn) {
+    if (isPassingThrough) {
       listener.onEnd();
-    } else if (answer.status() >= 400) {
-      Failure failure = new Failure(answer.status(), headers, held.toByteArray());
+    } else if (response.status() >= 400) {
+      Failure failure = new Failure(response.status(), headers, buffered.toByteArray());
       listener.onFailure(
-          AttemptOutcome.FAILED, "target answered " + answer.status(), Optional.of(failure));
+          AttemptOutcome.FAILED, "target answered " + response.status(), Optional.of(failure));
     } else {
-      listener.onWhole(answer.status(), headers, held.toByteArray());
+      listener.onWholeResponse(response.status(), headers, buffered.toByteArray());
     }
   }
 
@@ -162,21 +172,21 @@
   }
 
   private boolean isStream() {
-    return answer.isSuccess() && answer.isEventStream();
+    return response.isSuccess() && response.isEventStream();
   }
 
-  private void hold(byte[] bytes) {
-    held.writeBytes(bytes);
-    if (held.size() > HELD_BYTES && answer.isSuccess()) {
-      passesOn = true;
-      listener.onBegin(answer.status(), headers);
-      listener.onPart(held.toByteArray(), OptionalLong.empty());
-      held.reset();
+  private void buffer(byte[] bytes) {
+    buffered.writeBytes(bytes);
+    if (buffered.size() > MAXIMUM_BUFFERED_BYTES && response.isSuccess()) {
+      isPassingThrough = true;
+      listener.onBegin(response.status(), headers);
+      listener.onPiece(buffered.toByteArray(), OptionalLong.empty());
+      buffered.reset();
     }
   }
 
   private void onEvents(byte[] bytes) {
-    for (EventSplitter.Event event : splitter.take(bytes)) {
+    for (EventSplitter.Event event : splitter.feed(bytes)) {
       if (isOver) {
         return;
       }
@@ -194,12 +204,16 @@
       if (event.id().getAsLong() > expected) {
         fail(
             AttemptOutcome.BROKEN,
-            "event " + event.id().getAsLong() + " came where " + expected + " was due");
+            "event "
+                + event.id().getAsLong()
+                + " arrived, but event "
+                + expected
+                + " was expected");
         return;
       }
     }
-    listener.onBegin(answer.status(), headers);
-    listener.onPart(event.bytes(), event.id());
+    listener.onBegin(response.status(), headers);
+    listener.onPiece(event.bytes(), event.id());
   }
 
   private void endStream() {
@@ -208,11 +222,11 @@
       return;
     }
     isOver = true;
-    listener.onBegin(answer.status(), headers);
+    listener.onBegin(response.status(), headers);
     listener.onEnd();
   }
 
-  private static boolean promisesNotRun(int status) {
+  private static boolean impliesNotRun(int status) {
     return status == UNAVAILABLE || status == TOO_MANY_REQUESTS || status == REQUEST_TIMEOUT;
   }
 
--- a/gateway/src/main/java/dev/ibishub/gateway/front/CallerConnection.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/CallerConnection.java
@@ -33,64 +33,65 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One caller's connection: collects requests, runs them one after the other, bounds what a caller
- * may send and how long it may take. Runs on the connection's event loop; not thread-safe.
+ * Handler of one caller's connection, which collects requests, runs them one after another, and
+ * enforces the limits on their size and on how long they take to arrive. Runs on the connection's
+ * event loop; not thread-safe.
  */
 final class CallerConnection extends ChannelInboundHandlerAdapter {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Time between two looks at a sender whose request is still arriving, milliseconds. */
-  private static final long ARRIVING_WATCH_MILLIS = 250;
+  /** Interval between timeout checks while a request is arriving, milliseconds. */
+  private static final long ARRIVING_CHECK_MILLIS = 250;
 
   /**
-   * The longest time between two looks at any sender, milliseconds, as a changed limit has to be
-   * noticed. Connections are idle most of the time, and each look wakes the process.
+   * Longest interval between timeout checks, milliseconds, within which a changed limit takes
+   * effect. Connections are idle most of the time, and each check wakes the process.
    */
-  private static final long IDLE_WATCH_MILLIS = 2_000;
+  private static final long IDLE_CHECK_MILLIS = 2_000;
 
-  /** Requests that a caller may send ahead of the answer before its bytes are left unread. */
-  private static final int MOST_AHEAD = 8;
+  /** Pipelined requests that wait for their turn before the connection is no longer read. */
+  private static final int MAXIMUM_PIPELINED = 8;
 
   private static final int HEADERS_TOO_LARGE = 431;
 
   private final RequestContext context;
-  private final ArrivalWatch watch;
+  private final RequestReadMonitor monitor;
   private final AtomicInteger inFlight;
-  private final Deque<FullHttpRequest> ahead = new ArrayDeque<>();
+  private final Deque<FullHttpRequest> pipelined = new ArrayDeque<>();
   private ChannelHandlerContext channelContext;
   private HttpRequest head;
   private ByteBuf body;
   private Exchange exchange;
-  private ScheduledFuture<?> watching;
-  private long watchesAt;
+  private ScheduledFuture<?> nextCheck;
+  private long nextCheckAt;
   private boolean isClosing;
 
-  CallerConnection(RequestContext context, ArrivalWatch watch, AtomicInteger inFlight) {
+  CallerConnection(RequestContext context, RequestReadMonitor monitor, AtomicInteger inFlight) {
     this.context = context;
-    this.watch = watch;
+    this.monitor = monitor;
     this.inFlight = inFlight;
   }
 
   @Override
   public void channelActive(ChannelHandlerContext opened) {
     channelContext = opened;
-    watchAfter(Math.min(IDLE_WATCH_MILLIS, untilIdle(MonotonicClock.millis())));
+    scheduleCheck(Math.min(IDLE_CHECK_MILLIS, untilIdle(MonotonicClock.millis())));
   }
 
   @Override
-  public void channelReadComplete(ChannelHandlerContext from) {
-    if (isArriving() && watchesAt - MonotonicClock.millis() > ARRIVING_WATCH_MILLIS) {
-      watching.cancel(false);
-      watchAfter(ARRIVING_WATCH_MILLIS);
+  public void channelReadComplete(ChannelHandlerContext handlerContext) {
+    if (isArriving() && nextCheckAt - MonotonicClock.millis() > ARRIVING_CHECK_MILLIS) {
+      nextCheck.cancel(false);
+      scheduleCheck(ARRIVING_CHECK_MILLIS);
     }
-    from.fireChannelReadComplete();
+    handlerContext.fireChannelReadComplete();
   }
 
   @Override
-  public void channelRead(ChannelHandlerContext from, Object message) {
+  public void channelRead(ChannelHandlerContext handlerContext, Object message) {
     try {
       if (!isClosing) {
-        take(message);
+        handle(message);
       }
     } finally {
       ReferenceCountUtil.release(message);
@@ -98,51 +99,51 @@
   }
 
   @Override
-  public void channelWritabilityChanged(ChannelHandlerContext from) {
+  public void channelWritabilityChanged(ChannelHandlerContext handlerContext) {
     if (exchange != null) {
-      exchange.onWritable(from.channel().isWritable());
+      exchange.onWritable(handlerContext.channel().isWritable());
     }
   }
 
   @Override
-  public void channelInactive(ChannelHandlerContext from) {
+  public void channelInactive(ChannelHandlerContext handlerContext) {
     isClosing = true;
-    if (watching != null) {
-      watching.cancel(false);
+    if (nextCheck != null) {
+      nextCheck.cancel(false);
     }
     dropBody();
-    ahead.forEach(ReferenceCountUtil::release);
-    ahead.clear();
+    pipelined.forEach(ReferenceCountUtil::release);
+    pipelined.clear();
     if (exchange != null) {
       exchange.onCallerGone();
     }
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext from, Throwable cause) {
+  public void exceptionCaught(ChannelHandlerContext handlerContext, Throwable cause) {
     logger.atFine().withCause(cause).log("event=caller.failed");
-    from.close();
+    handlerContext.close();
   }
 
-  private void take(Object message) {
+  private void handle(Object message) {
     if (message instanceof HttpRequest request) {
-      takeHead(request);
+      handleHead(request);
     }
     if (!isClosing && message instanceof HttpContent content) {
-      takeBody(content);
+      handleBody(content);
     }
   }
 
-  private void takeHead(HttpRequest request) {
-    watch.onHead();
-    Optional<Integer> fault = fault(request);
-    if (fault.isPresent()) {
-      close(fault.get());
+  private void handleHead(HttpRequest request) {
+    monitor.onHead();
+    Optional<Integer> rejection = rejectionStatus(request);
+    if (rejection.isPresent()) {
+      reject(rejection.get());
       return;
     }
-    long declared = HttpUtil.getContentLength(request, 0L);
-    if (declared > limits().maximumBodyBytes()) {
-      close(ResultCode.TOO_LARGE.httpStatus());
+    long declaredLength = HttpUtil.getContentLength(request, 0L);
+    if (declaredLength > limits().maximumBodyBytes()) {
+      reject(ResultCode.TOO_LARGE.httpStatus());
       return;
     }
     head = request;
@@ -153,8 +154,11 @@
     }
   }
 
-  /** Finds the status for a request that must not be passed on. */
-  private Optional<Integer> fault(HttpRequest request) {
+  /**
+   * Returns the status with which a request is rejected that must not be passed on; empty for
+   * others.
+   */
+  private Optional<Integer> rejectionStatus(HttpRequest request) {
     int malformed = ResultCode.MALFORMED_REQUEST.httpStatus();
     if (!request.decoderResult().isSuccess()) {
       Throwable cause = request.decoderResult().cause();
@@ -167,66 +171,66 @@
         encodings.size() > 1
             || (encodings.size() == 1
                 && !HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(encodings.get(0)));
-    boolean isUnclear =
-        watch.isFolded()
+    boolean isAmbiguous =
+        monitor.hasFoldedLine()
             || isUnknownFraming
             || !request.protocolVersion().protocolName().equals("HTTP")
             || request.protocolVersion().majorVersion() != 1
             || request.headers().getAll(HttpHeaderNames.HOST).size() != 1
             || !request.uri().startsWith("/");
-    return isUnclear ? Optional.of(malformed) : Optional.empty();
+    return isAmbiguous ? Optional.of(malformed) : Optional.empty();
   }
 
-  private void takeBody(HttpContent content) {
+  private void handleBody(HttpContent content) {
     if (head == null) {
       return;
     }
     if (!content.decoderResult().isSuccess()) {
-      close(ResultCode.MALFORMED_REQUEST.httpStatus());
+      reject(ResultCode.MALFORMED_REQUEST.httpStatus());
       return;
     }
     if (content.content().isReadable()) {
       if (body.readableBytes() + content.content().readableBytes() > limits().maximumBodyBytes()) {
-        close(ResultCode.TOO_LARGE.httpStatus());
+        reject(ResultCode.TOO_LARGE.httpStatus());
         return;
       }
       body = body.isWritable() || body.capacity() > 0 ? body : Unpooled.buffer();
       body.writeBytes(content.content());
     }
     if (content instanceof LastHttpContent) {
-      complete();
+      completeRequest();
     }
   }
 
-  private void complete() {
+  private void completeRequest() {
     FullHttpRequest whole =
         new DefaultFullHttpRequest(head.protocolVersion(), head.method(), head.uri(), body);
     whole.headers().set(head.headers());
     head = null;
     body = null;
-    watch.expectHead();
-    ahead.addLast(whole);
-    if (ahead.size() >= MOST_AHEAD) {
+    monitor.expectHead();
+    pipelined.addLast(whole);
+    if (pipelined.size() >= MAXIMUM_PIPELINED) {
       channelContext.channel().config().setAutoRead(false);
     }
-    next();
+    startNext();
   }
 
-  private void next() {
-    if (exchange != null || isClosing || ahead.isEmpty()) {
+  private void startNext() {
+    if (exchange != null || isClosing || pipelined.isEmpty()) {
       return;
     }
-    FullHttpRequest request = ahead.pollFirst();
+    FullHttpRequest request = pipelined.pollFirst();
     channelContext.channel().config().setAutoRead(true);
-    CallerAnswer answer =
-        new CallerAnswer(channelContext.channel(), request, context.stop()::isLeaving);
+    CallerResponse response =
+        new CallerResponse(channelContext.channel(), request, context.stop()::isLeaving);
     inFlight.incrementAndGet();
     exchange =
         new Exchange(
             context,
             channelContext.channel().eventLoop(),
             request,
-            answer,
+            response,
             () -> channelContext.executor().execute(this::onExchangeDone));
     exchange.start();
   }
@@ -234,51 +238,53 @@
   private void onExchangeDone() {
     exchange = null;
     inFlight.decrementAndGet();
-    watch.touch();
-    next();
+    monitor.restartIdleTime();
+    startNext();
   }
 
-  private void watchAfter(long millis) {
-    watchesAt = MonotonicClock.millis() + millis;
-    watching = channelContext.executor().schedule(this::watchSender, millis, TimeUnit.MILLISECONDS);
+  private void scheduleCheck(long millis) {
+    nextCheckAt = MonotonicClock.millis() + millis;
+    nextCheck =
+        channelContext.executor().schedule(this::checkTimeouts, millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Whether a part of a request has come. */
+  /** Whether a part of a request has arrived. */
   private boolean isArriving() {
-    return head != null || watch.headDeadline() != Long.MAX_VALUE;
+    return head != null || monitor.headDeadline() != Long.MAX_VALUE;
   }
 
-  private void watchSender() {
+  private void checkTimeouts() {
     if (isClosing) {
       return;
     }
     long now = MonotonicClock.millis();
     if (exchange == null) {
-      closeIfDue(now);
+      closeIfTimedOut(now);
     }
     if (!isClosing) {
-      long longest = isArriving() ? ARRIVING_WATCH_MILLIS : IDLE_WATCH_MILLIS;
-      watchAfter(exchange == null ? Math.min(longest, untilIdle(now)) : longest);
+      long interval = isArriving() ? ARRIVING_CHECK_MILLIS : IDLE_CHECK_MILLIS;
+      scheduleCheck(exchange == null ? Math.min(interval, untilIdle(now)) : interval);
     }
   }
 
-  /** Returns the time until the sender counts as idle if nothing more comes, milliseconds. */
+  /** Returns the time until the connection counts as idle if nothing more arrives, milliseconds. */
   private long untilIdle(long now) {
-    return watch.lastByteAt() + limits().idleTimeoutMillis() + 1 - now;
+    return monitor.lastByteAt() + limits().idleTimeoutMillis() + 1 - now;
   }
 
-  private void closeIfDue(long now) {
-    boolean isBodySlow = head != null && now - watch.lastByteAt() > limits().headerTimeoutMillis();
-    if (isBodySlow || now > watch.headDeadline()) {
-      close(ResultCode.SLOW_SENDER.httpStatus());
-    } else if (now - watch.lastByteAt() > limits().idleTimeoutMillis()) {
+  private void closeIfTimedOut(long now) {
+    boolean isBodySlow =
+        head != null && now - monitor.lastByteAt() > limits().headerTimeoutMillis();
+    if (isBodySlow || now > monitor.headDeadline()) {
+      reject(ResultCode.SLOW_SENDER.httpStatus());
+    } else if (now - monitor.lastByteAt() > limits().idleTimeoutMillis()) {
       isClosing = true;
       channelContext.close();
     }
   }
 
-  /** Answers what can't be a request, or not one that is taken, and ends the connection. */
-  private void close(int status) {
+  /** Rejects a malformed, oversized or slow request and closes the connection. */
+  private void reject(int status) {
     isClosing = true;
     dropBody();
     logger.atInfo().log("%s", LogEvent.of("caller.rejected").with("status", status));
--- a/gateway/src/main/java/dev/ibishub/gateway/front/CallerServer.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/CallerServer.java
@@ -14,11 +14,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Takes callers' connections. Thread-safe.
+ * HTTP server for callers. Thread-safe. Used on the platform of ibishub's users; {@code
+ * dev.ibishub.entry.CallerServer} is the counterpart behind ibishub's own interface.
  *
- * <p>Netty's HTTP codec stands here instead of the JDK's server, which does not show that a caller
- * left while its request is under way, can't refuse a request before its body is in, and can't
- * close a kept connection at a chosen moment.
+ * <p>Built on Netty's HTTP codec instead of the JDK's server, which does not show that a caller
+ * disconnected while its request is in flight, can't refuse a request before its body has arrived,
+ * and can't close a kept-alive connection at a chosen moment.
  */
 public final class CallerServer {
   private static final int BACKLOG = 1_024;
@@ -26,15 +27,15 @@
   private final RequestContext context;
   private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final AtomicInteger inFlight = new AtomicInteger();
-  private Channel listening;
+  private Channel serverChannel;
 
   public CallerServer(RequestContext context) {
     this.context = context;
   }
 
-  /** Listens; the call returns when callers can connect. */
+  /** Starts to listen; returns when callers can connect. */
   public void listen(EventLoopGroup group, InetSocketAddress address) {
-    listening =
+    serverChannel =
         new ServerBootstrap()
             .group(group)
             .channel(NioServerSocketChannel.class)
@@ -46,13 +47,13 @@
                   @Override
                   protected void initChannel(Channel channel) {
                     connections.add(channel);
-                    ArrivalWatch watch = new ArrivalWatch(context.limits());
+                    RequestReadMonitor monitor = new RequestReadMonitor(context.limits());
                     channel
                         .pipeline()
-                        .addLast(watch)
+                        .addLast(monitor)
                         .addLast(new StrictRequestDecoder(context.limits()))
                         .addLast(new HttpResponseEncoder())
-                        .addLast(new CallerConnection(context, watch, inFlight));
+                        .addLast(new CallerConnection(context, monitor, inFlight));
                   }
                 })
             .bind(address)
@@ -60,14 +61,14 @@
             .channel();
   }
 
-  /** Returns how many requests are under way. */
+  /** Returns the number of requests in flight. */
   public int inFlight() {
     return inFlight.get();
   }
 
-  /** Takes no new connections and closes those on which nothing is under way or left to write. */
+  /** Stops listening and closes all connections, also those with a request in flight. */
   public void close() {
-    listening.close().syncUninterruptibly();
+    serverChannel.close().syncUninterruptibly();
     connections.close().awaitUninterruptibly();
   }
 }
--- a/gateway/src/main/java/dev/ibishub/gateway/front/EventSplitter.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/EventSplitter.java
@@ -8,39 +8,42 @@
 import java.util.OptionalLong;
 
 /**
- * Cuts the bytes of an event stream into whole events. A target may stop in the middle of an event;
- * what goes to the caller ends at an event's end, so that another target can go on there. Not
- * thread-safe.
+ * Splitter of an event stream's bytes into whole events. A target may stop in the middle of an
+ * event; what the caller receives ends at the end of an event, so that another target can resume
+ * the stream there. Not thread-safe.
  */
 final class EventSplitter {
-  /** A longer event is no event of a model; it would only fill memory. */
+  /**
+   * Size of the longest accepted event, bytes. No model sends longer ones; the limit bounds the
+   * memory that a stream takes.
+   */
   static final int MAXIMUM_EVENT_BYTES = 1 << 20;
 
   private static final byte[] ID_FIELD = "id:".getBytes(StandardCharsets.ISO_8859_1);
 
-  /** Digits of a number that surely fits a long. */
+  /** Digits up to which every number fits a {@code long}. */
   private static final int MAXIMUM_ID_DIGITS = 18;
 
   private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
-  private boolean lineIsEmpty = true;
-  private boolean hasText;
+  private boolean isLineEmpty = true;
+  private boolean hasContent;
 
   /**
    * A whole event.
    *
-   * @param bytes all its bytes with the empty line that ends it
-   * @param id its number, where it has one
+   * @param bytes all its bytes, with the empty line that ends it
+   * @param id its numeric id; empty where it has none
    */
   @SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
   record Event(byte[] bytes, OptionalLong id) {}
 
   /**
-   * Takes bytes in.
+   * Adds bytes that arrived.
    *
    * @return the events that they complete, in order
-   * @throws IllegalStateException when an event grows beyond {@link #MAXIMUM_EVENT_BYTES}
+   * @throws IllegalStateException if an event grows beyond {@link #MAXIMUM_EVENT_BYTES}
    */
-  List<Event> take(byte[] bytes) {
+  List<Event> feed(byte[] bytes) {
     List<Event> events = new ArrayList<>();
     int from = 0;
     for (int at = 0; at < bytes.length; at++) {
@@ -49,16 +52,16 @@
         continue;
       }
       if (next != '\n') {
-        lineIsEmpty = false;
-        hasText = true;
+        isLineEmpty = false;
+        hasContent = true;
         continue;
       }
-      if (lineIsEmpty && hasText) {
+      if (isLineEmpty && hasContent) {
         pending.write(bytes, from, at + 1 - from);
         from = at + 1;
-        events.add(event());
+        events.add(completeEvent());
       }
-      lineIsEmpty = true;
+      isLineEmpty = true;
     }
     pending.write(bytes, from, bytes.length - from);
     if (pending.size() > MAXIMUM_EVENT_BYTES) {
@@ -67,19 +70,19 @@
     return events;
   }
 
-  /** Whether the bytes so far end within an event. */
+  /** Whether the bytes so far end in the middle of an event. */
   boolean isWithinEvent() {
-    return hasText;
+    return hasContent;
   }
 
-  private Event event() {
-    byte[] whole = pending.toByteArray();
+  private Event completeEvent() {
+    byte[] eventBytes = pending.toByteArray();
     pending.reset();
-    hasText = false;
-    return new Event(whole, id(whole));
+    hasContent = false;
+    return new Event(eventBytes, id(eventBytes));
   }
 
-  /** Returns the number in the last line that holds one. */
+  /** Returns the id in the last line that has a numeric one. */
   private static OptionalLong id(byte[] event) {
     OptionalLong id = OptionalLong.empty();
     int from = 0;
--- a/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
@@ -27,82 +27,104 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One request of a caller, from its last byte to the end of its answer. Runs on the event loop of
- * the caller's connection; not thread-safe.
+ * One request of a caller, from its last byte to the end of its response. Runs on the event loop of
+ * the caller's connection; not thread-safe. Used on the platform of ibishub's users; {@code
+ * dev.ibishub.entry.RequestRunner} is the counterpart behind ibishub's own interface.
  *
- * <p>Nothing waits here for room: a request is sent to a target at once or refused at once, as a
- * request that waits in one entry is not seen by the others and can't be placed where room comes
- * free first. Only a group of ranks that is about to open is waited for, less than a second.
+ * <p>Requests are not queued here: each is sent to a target or refused at once. A request that is
+ * queued at one entry is not visible to the others and can't go to whichever target has room first.
+ * Only a group of ranks that is about to open is waited for, for less than a second.
  */
 final class Exchange {
-  /** With less time than this left no target could answer; the request ends. Milliseconds. */
-  private static final long LEAST_USEFUL_MILLIS = 15;
+  /**
+   * Least time left until the deadline for a request to be sent, milliseconds; with less, no target
+   * could respond in time.
+   */
+  private static final long MINIMUM_LEFT_MILLIS = 15;
 
-  /** Until a retry may help when nothing is known of targets, milliseconds. */
-  private static final long UNKNOWN_RETRY_MILLIS = 500;
+  /** Value of {@code Retry-After} while the service has no usable target, milliseconds. */
+  private static final long NO_TARGET_RETRY_MILLIS = 500;
 
-  /** Until a caller should go to another entry, milliseconds; there it is served at once. */
+  /**
+   * Value of {@code Retry-After} while this entry drains, milliseconds; other entries serve the
+   * request at once.
+   */
   private static final long LEAVING_RETRY_MILLIS = 10;
 
-  /** A group of ranks that is about to open is waited for at most this part of the time left. */
-  private static final long FORMING_PART = 8;
+  /**
+   * Divisor of the time between a request's arrival and its deadline; the result is the longest
+   * wait for a group of ranks that is about to open.
+   */
+  private static final long FORMING_WAIT_DIVISOR = 8;
 
-  /** Time between two looks at a group that is about to open, milliseconds. */
-  private static final long FORMING_LOOK_MILLIS = 60;
+  /** Interval between checks of a group that is about to open, milliseconds. */
+  private static final long FORMING_CHECK_MILLIS = 60;
 
   private final RequestContext context;
   private final EventLoop loop;
   private final FullHttpRequest request;
-  private final CallerAnswer answer;
+  private final CallerResponse response;
   private final Runnable onDone;
   private final CallerRequest caller;
   private final ExchangeLog log;
   private final long arrivedAt = MonotonicClock.millis();
   private final ResponseTimings timings = new ResponseTimings(arrivedAt);
+
+  /** Ids of the targets that the next send leaves out, as the request was sent there before. */
   private final Set<String> tried = new HashSet<>();
+
   private final List<Attempt> attempts = new ArrayList<>();
 
   private Routing.Routed routed;
   private ScheduledFuture<?> timer;
+
+  /** Attempts so far that may have run the request. */
   private int runs;
+
+  /** All attempts so far, also those that ran nothing. */
   private int sends;
+
   private Optional<AttemptRelay.Failure> lastFailure = Optional.empty();
   private OptionalLong lastEventId = OptionalLong.empty();
   private Optional<RequestIdentity> identity = Optional.empty();
-  private long groupUntil = Long.MAX_VALUE;
+
+  /** When the wait for a group that is about to open ends, on the monotonic clock, milliseconds. */
+  private long groupWaitUntil = Long.MAX_VALUE;
+
   private boolean isOver;
 
   /**
    * Creates an exchange.
    *
    * @param request the whole request; released when the exchange is done
-   * @param onDone called when the answer has been written or broken off
+   * @param onDone called when the response was written or aborted
    */
   Exchange(
       RequestContext context,
       EventLoop loop,
       FullHttpRequest request,
-      CallerAnswer answer,
+      CallerResponse response,
       Runnable onDone) {
     this.context = context;
     this.loop = loop;
     this.request = request;
-    this.answer = answer;
+    this.response = response;
     this.onDone = onDone;
     this.caller = context.dialect().read(request);
     this.log = new ExchangeLog(caller.attemptId(), arrivedAt, context.entries());
   }
 
   void start() {
-    double point = ThreadLocalRandom.current().nextDouble();
+    double random = ThreadLocalRandom.current().nextDouble();
     Optional<ServingConfiguration> configuration = context.configuration().get();
     if (configuration.isEmpty()) {
       long sinceStart = arrivedAt - context.startedAt();
       refuse(
-          ResultCode.NOT_READY, ReturnAdvice.whileStarting(sinceStart, caller.waitMillis(), point));
+          ResultCode.NOT_READY,
+          ReturnAdvice.whileStarting(sinceStart, caller.waitMillis(), random));
       return;
     }
-    Routing found = Routing.of(configuration.get(), request, caller, arrivedAt, point);
+    Routing found = Routing.of(configuration.get(), request, caller, arrivedAt, random);
     log.onRouting(found);
     if (found instanceof Routing.Refused refused) {
       refuse(refused.code(), 0);
@@ -114,7 +136,7 @@
       return;
     }
     if (isQuarantined(arrivedAt)) {
-      quarantine();
+      refuseQuarantined();
       return;
     }
     lastEventId = caller.lastEventId();
@@ -143,37 +165,40 @@
     return identity.get();
   }
 
-  private void quarantine() {
+  private void refuseQuarantined() {
     String cause = "crashed %d targets in a row".formatted(context.crashes().crashes(identity()));
     log.ended("request.quarantined", ResultCode.REQUEST_QUARANTINED, cause, sends);
-    answer.refusal(ResultCode.REQUEST_QUARANTINED, 0);
-    done("quarantined");
+    response.writeRefusal(ResultCode.REQUEST_QUARANTINED, 0);
+    complete("quarantined");
   }
 
-  /** The caller's connection is gone: the work for it stops. */
+  /** Ends the exchange because the caller's connection closed, and cancels its attempts. */
   void onCallerGone() {
     if (!isOver) {
       log.ended("request.left", ResultCode.CANCELLED, "caller closed its connection", sends);
-      done("left");
+      complete("left");
     }
   }
 
-  /** The caller reads again, or no longer. */
+  /**
+   * Stops or resumes reading from targets as the caller's connection becomes unwritable or
+   * writable.
+   */
   void onWritable(boolean writable) {
     attempts.forEach(attempt -> attempt.relay.setReading(writable));
   }
 
-  /** Sends the request to a target, or ends it where there is none. */
+  /** Sends the request to a target, or ends the exchange if there is none. */
   private void send() {
     long now = MonotonicClock.millis();
-    if (routed.deadline() - now < LEAST_USEFUL_MILLIS) {
+    if (routed.deadline() - now < MINIMUM_LEFT_MILLIS) {
       onDeadline();
       return;
     }
     List<TargetDirectory.Known> usable = context.targets().usable(routed.service());
     List<TargetLoad> loads = usable.stream().map(TargetDirectory.Known::load).toList();
     if (TargetChoice.areForming(loads, now) && mayWaitForGroup(now)) {
-      loop.schedule(this::sendUnlessOver, FORMING_LOOK_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::sendUnlessOver, FORMING_CHECK_MILLIS, TimeUnit.MILLISECONDS);
       return;
     }
     boolean isClosed = TargetChoice.areClosed(loads, now);
@@ -182,7 +207,7 @@
       onNoTarget(loads, isClosed, now);
       return;
     }
-    attempt(chosen.get(), now);
+    startAttempt(chosen.get(), now);
   }
 
   private void sendUnlessOver() {
@@ -191,15 +216,15 @@
     }
   }
 
-  /** Whether a group that is about to open is still waited for; a short while only. */
+  /** Whether the wait for a group that is about to open may go on. */
   private boolean mayWaitForGroup(long now) {
     long forming = routed.engine().map(EngineProfile::formingMillis).orElse(0L);
-    long patience = Math.min(forming, (routed.deadline() - arrivedAt) / FORMING_PART);
-    groupUntil = Math.min(groupUntil, now + patience);
-    return now < groupUntil;
+    long patience = Math.min(forming, (routed.deadline() - arrivedAt) / FORMING_WAIT_DIVISOR);
+    groupWaitUntil = Math.min(groupWaitUntil, now + patience);
+    return now < groupWaitUntil;
   }
 
-  private void attempt(TargetDirectory.Known target, long now) {
+  private void startAttempt(TargetDirectory.Known target, long now) {
     log.onTarget(target);
     tried.add(target.target().id());
     sends++;
@@ -209,34 +234,37 @@
     attempts.add(attempt);
     attempt.relay =
         AttemptRelay.start(
-            loop, context.dialect(), target.address(), copyFor(target, now), attempt);
+            loop, context.dialect(), target.address(), requestFor(target, now), attempt);
     attempt.silenceMonitor.start(routed, now);
   }
 
-  /** Asks one more target beside those that are silent, where the request may run there too. */
-  private void sendBeside() {
+  /**
+   * Sends a hedged request: asks another target while the silent ones keep running, if the request
+   * may run there too.
+   */
+  private void sendHedge() {
     long now = MonotonicClock.millis();
     Optional<TargetDirectory.Known> other = choose(context.targets().usable(routed.service()), now);
-    if (other.isPresent() && mayGoOn(AttemptOutcome.BROKEN, runs + attempts.size(), now)) {
-      attempt(other.get(), now);
+    if (other.isPresent() && tryTakeRetry(AttemptOutcome.BROKEN, runs + attempts.size(), now)) {
+      startAttempt(other.get(), now);
     }
   }
 
-  /** Whether the request may be sent once more; takes that from the budget. */
-  private boolean mayGoOn(AttemptOutcome outcome, int runsSoFar, long now) {
+  /** Whether the request may be sent once more; if so, takes a retry from the budget. */
+  private boolean tryTakeRetry(AttemptOutcome outcome, int runsSoFar, long now) {
     return routed.retryRule().allowsAnother(outcome, runsSoFar, sends)
         && !isQuarantined(now)
         && context.budgets().tryRetry(routed.service(), now);
   }
 
   private Optional<TargetDirectory.Known> choose(List<TargetDirectory.Known> usable, long now) {
-    double full =
+    double maximumRequests =
         routed
             .engine()
             .map(profile -> profile.slots() + profile.waitingPlaces(routed.route().aimMillis()))
             .map(Integer::doubleValue)
             .orElse(Double.MAX_VALUE);
-    TargetChoice choice = new TargetChoice(context.entries().getAsInt(), full);
+    TargetChoice choice = new TargetChoice(context.entries().getAsInt(), maximumRequests);
     List<TargetDirectory.Known> allowed =
         usable.stream()
             .filter(target -> context.targetLimits().allows(target.target().life(), now))
@@ -244,7 +272,7 @@
     return TargetDirectory.choose(choice, allowed, tried, context.targets().ownZone(), now);
   }
 
-  private FullHttpRequest copyFor(TargetDirectory.Known target, long now) {
+  private FullHttpRequest requestFor(TargetDirectory.Known target, long now) {
     FullHttpRequest copy = HopByHopHeaders.endToEndCopy(request);
     context
         .dialect()
@@ -260,38 +288,38 @@
   }
 
   private void onNoTarget(List<TargetLoad> loads, boolean isClosed, long now) {
-    if (answer.isBegun()) {
-      endBroken("no other target to go on at");
+    if (response.isHeadWritten()) {
+      endBroken("no other target to resume the stream at");
       return;
     }
     if (runs > 0) {
       endFailed("no other target to try");
       return;
     }
-    double point = ThreadLocalRandom.current().nextDouble();
+    double random = ThreadLocalRandom.current().nextDouble();
     long left = routed.deadline() - now;
     if (loads.isEmpty()) {
-      refuse(ResultCode.NO_TARGET, UNKNOWN_RETRY_MILLIS);
+      refuse(ResultCode.NO_TARGET, NO_TARGET_RETRY_MILLIS);
     } else if (isClosed) {
-      refuse(ResultCode.NO_TARGET, ReturnAdvice.whileClosed(left, point));
+      refuse(ResultCode.NO_TARGET, ReturnAdvice.whileClosed(left, random));
     } else {
       OptionalLong untilRested = TargetChoice.untilRested(loads, now);
       refuse(
           ResultCode.OVERLOADED,
           untilRested.isPresent()
-              ? ReturnAdvice.whileResting(untilRested.getAsLong(), left, point)
-              : adviceWhenFull(point));
+              ? ReturnAdvice.whileResting(untilRested.getAsLong(), left, random)
+              : retryMillisWhenFull(random));
     }
   }
 
-  private long adviceWhenFull(double point) {
+  private long retryMillisWhenFull(double random) {
     return routed
         .engine()
-        .map(profile -> ReturnAdvice.whenFull(profile.slotFreesMillis(), point))
-        .orElseGet(() -> ReturnAdvice.whenFull(point));
+        .map(profile -> ReturnAdvice.whenFull(profile.slotFreesMillis(), random))
+        .orElseGet(() -> ReturnAdvice.whenFull(random));
   }
 
-  /** One attempt at one target, and what it brings. */
+  /** One attempt at one target, and the handling of its result. */
   private final class Attempt implements AttemptRelay.Listener {
     private final TargetDirectory.Known target;
     private final long sentAt;
@@ -312,9 +340,9 @@
     }
 
     private void onHedgeDue() {
-      if (attempts.contains(this) && !relay.isAnswering()) {
+      if (attempts.contains(this) && !relay.isResponding()) {
         isSilent = true;
-        sendBeside();
+        sendHedge();
       }
     }
 
@@ -327,18 +355,19 @@
 
     private void onStreamSilent() {
       if (attempts.contains(this)) {
-        moveElsewhere(MonotonicClock.millis());
+        failOver(MonotonicClock.millis());
       }
     }
 
     /**
-     * Gives the target up for another one. Without another one, or a retry left in the budget, the
-     * stream stays where it is: silence alone is no reason to end it, it may yet go on.
+     * Abandons the target and resumes the stream at another one. Without another target or a retry
+     * left in the budget, the stream stays where it is: silence alone is no reason to end it, as
+     * the target may continue.
      */
-    private void moveElsewhere(long now) {
+    private void failOver(long now) {
       Optional<TargetDirectory.Known> other =
           choose(context.targets().usable(routed.service()), now);
-      if (other.isEmpty() || !mayGoOn(AttemptOutcome.BROKEN, runs + 1, now)) {
+      if (other.isEmpty() || !tryTakeRetry(AttemptOutcome.BROKEN, runs + 1, now)) {
         return;
       }
       end("silent");
@@ -346,11 +375,14 @@
       target.load().onAnswer(false, now);
       runs++;
       log.attemptFailed(
-          AttemptOutcome.BROKEN, "silent while the service's other streams move", true, sends);
-      attempt(other.get(), now);
+          AttemptOutcome.BROKEN,
+          "silent while other streams of the service make progress",
+          true,
+          sends);
+      startAttempt(other.get(), now);
     }
 
-    /** Ends the attempt, whatever it still brings. */
+    /** Ends the attempt; whatever the target still sends is ignored. */
     void end(String outcome) {
       silenceMonitor.stop();
       relay.cancel();
@@ -366,10 +398,10 @@
     private void endOthers() {
       List.copyOf(attempts).stream()
           .filter(other -> !other.equals(this))
-          .forEach(Attempt::endOvertaken);
+          .forEach(Attempt::endSuperseded);
     }
 
-    private void endOvertaken() {
+    private void endSuperseded() {
       if (isSilent) {
         target.load().onAnswer(false, MonotonicClock.millis());
       }
@@ -382,40 +414,40 @@
     }
 
     @Override
-    public void onAnswer(TargetAnswer said) {
-      said.restMillis().ifPresent(this::onRestAsked);
-      if (said.isLeaving()) {
+    public void onResponse(TargetAnswer head) {
+      head.restMillis().ifPresent(this::onBackOffRequested);
+      if (head.isLeaving()) {
         context.targets().onLeavingResponse(target);
       }
-      context.targetLimits().onResponse(target.target().life(), said.requestsPerSecond(), sentAt);
+      context.targetLimits().onResponse(target.target().life(), head.requestsPerSecond(), sentAt);
     }
 
-    private void onRestAsked(long millis) {
+    private void onBackOffRequested(long millis) {
       log.backOffRequested(target, millis);
       target.load().onRestAsked(MonotonicClock.millis() + millis);
     }
 
     @Override
-    public void onWhole(int status, HttpHeaders headers, byte[] body) {
+    public void onWholeResponse(int status, HttpHeaders headers, byte[] body) {
       endOthers();
       long now = MonotonicClock.millis();
       timings.onPiece(now);
       context.services().responseTimes(routed.service()).onGood(now - sentAt);
-      onGoodAnswer();
-      answer.whole(status, headers, body);
-      done("ok");
+      onSuccess();
+      response.writeWhole(status, headers, body);
+      complete("ok");
     }
 
     @Override
     public void onBegin(int status, HttpHeaders headers) {
       endOthers();
-      if (!answer.isBegun()) {
-        answer.begin(status, headers);
+      if (!response.isHeadWritten()) {
+        response.writeHead(status, headers);
       }
     }
 
     @Override
-    public void onPart(byte[] bytes, OptionalLong eventId) {
+    public void onPiece(byte[] bytes, OptionalLong eventId) {
       if (eventId.isPresent()) {
         lastEventId = eventId;
       }
@@ -423,20 +455,20 @@
       silenceMonitor.onPiece(now);
       timings.onPiece(now);
       context.services().streamProgress(routed.service()).onPiece(now);
-      answer.part(bytes);
-      if (!answer.isWritable()) {
+      response.writePiece(bytes);
+      if (!response.isWritable()) {
         relay.setReading(false);
       }
     }
 
     @Override
     public void onEnd() {
-      onGoodAnswer();
-      answer.end();
-      done("ok");
+      onSuccess();
+      response.finish();
+      complete("ok");
     }
 
-    private void onGoodAnswer() {
+    private void onSuccess() {
       target.load().onAnswer(true, MonotonicClock.millis());
       context.crashes().onCompleted(Exchange.this::identity);
       context
@@ -461,7 +493,7 @@
       lastFailure = failure.or(() -> lastFailure);
       Runnable next = () -> onAttemptFailed(outcome, cause, isCallersFault);
       if (outcome == AttemptOutcome.BROKEN) {
-        // Whether to send it on hangs on whether it crashed the target.
+        // A retry depends on whether the request crashed its target, which is checked first.
         long now = MonotonicClock.millis();
         context.crashes().onBroken(loop, brokenRun(now), target.address(), next);
       } else {
@@ -474,16 +506,16 @@
     if (isOver) {
       return;
     }
-    boolean isOtherUnderWay = !attempts.isEmpty();
-    boolean another =
-        !isOtherUnderWay && !isCallersFault && mayGoOn(outcome, runs, MonotonicClock.millis());
-    log.attemptFailed(outcome, cause, another, sends);
-    if (isOtherUnderWay) {
+    boolean isOtherInFlight = !attempts.isEmpty();
+    boolean isRetried =
+        !isOtherInFlight && !isCallersFault && tryTakeRetry(outcome, runs, MonotonicClock.millis());
+    log.attemptFailed(outcome, cause, isRetried, sends);
+    if (isOtherInFlight) {
       return;
     }
-    if (another) {
+    if (isRetried) {
       sendAgain(outcome);
-    } else if (answer.isBegun()) {
+    } else if (response.isHeadWritten()) {
       endBroken(cause);
     } else if (runs > 0) {
       endFailed(cause);
@@ -501,7 +533,7 @@
       send();
       return;
     }
-    // Who refused before may take the request by then.
+    // Targets that refused the request may accept it after the pause.
     tried.clear();
     loop.schedule(this::sendUnlessOver, pause, TimeUnit.MILLISECONDS);
   }
@@ -510,20 +542,20 @@
     if (isOver) {
       return;
     }
-    String cause = "the time of the request is over";
-    if (answer.isBegun()) {
+    String cause = "deadline passed";
+    if (response.isHeadWritten()) {
       endBroken(cause);
       return;
     }
     boolean mayHaveRun = runs > 0 || !attempts.isEmpty();
     attempts.stream()
-        .filter(attempt -> !attempt.relay.isAnswering())
+        .filter(attempt -> !attempt.relay.isResponding())
         .forEach(attempt -> attempt.target.load().onAnswer(false, MonotonicClock.millis()));
     if (mayHaveRun) {
       end(ResultCode.DEADLINE_PASSED_RUNNING, 0, cause);
     } else {
-      double point = ThreadLocalRandom.current().nextDouble();
-      end(ResultCode.DEADLINE_UNREACHABLE, ReturnAdvice.whenFull(point), cause);
+      double random = ThreadLocalRandom.current().nextDouble();
+      end(ResultCode.DEADLINE_UNREACHABLE, ReturnAdvice.whenFull(random), cause);
     }
   }
 
@@ -534,14 +566,14 @@
     }
     log.ended("request.failed", ResultCode.ENGINE_FAILED, cause, sends);
     AttemptRelay.Failure failed = lastFailure.get();
-    answer.whole(failed.status(), failed.headers(), failed.body());
-    done("target_failed");
+    response.writeWhole(failed.status(), failed.headers(), failed.body());
+    complete("target_failed");
   }
 
   private void endBroken(String cause) {
     log.ended("request.broken", ResultCode.TARGET_LOST, cause, sends);
-    answer.breakOff();
-    done("broken");
+    response.abort();
+    complete("broken");
   }
 
   private void refuse(ResultCode code, long retryMillis) {
@@ -550,11 +582,11 @@
 
   private void end(ResultCode code, long retryMillis, String cause) {
     log.ended("request.refused", code, cause, sends);
-    answer.refusal(code, retryMillis);
-    done(code.name().toLowerCase(Locale.ROOT));
+    response.writeRefusal(code, retryMillis);
+    complete(code.name().toLowerCase(Locale.ROOT));
   }
 
-  private void done(String result) {
+  private void complete(String result) {
     isOver = true;
     List.copyOf(attempts).forEach(attempt -> attempt.end("cancelled"));
     if (timer != null) {
--- a/gateway/src/main/java/dev/ibishub/gateway/front/ArrivalWatch.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/RequestReadMonitor.java
@@ -7,19 +7,19 @@
 import io.netty.channel.ChannelInboundHandlerAdapter;
 
 /**
- * Watches the raw bytes of a caller's connection: when they come, and whether a request's headers
- * hold a folded line, which the decoder would join silently. Not thread-safe.
+ * Channel handler that records when bytes of a caller's requests arrive, and whether a request head
+ * contains a folded header line, which the decoder would join silently. Not thread-safe.
  */
-final class ArrivalWatch extends ChannelInboundHandlerAdapter {
+final class RequestReadMonitor extends ChannelInboundHandlerAdapter {
   private final CallerLimits limits;
   private long lastByteAt = MonotonicClock.millis();
   private long headDeadline = Long.MAX_VALUE;
   private boolean isInHead = true;
-  private boolean lineIsEmpty = true;
-  private boolean isFolded;
-  private boolean isAnyLine;
+  private boolean isLineEmpty = true;
+  private boolean hasFoldedLine;
+  private boolean hasAnyLine;
 
-  ArrivalWatch(CallerLimits limits) {
+  RequestReadMonitor(CallerLimits limits) {
     this.limits = limits;
   }
 
@@ -35,36 +35,44 @@
     context.fireChannelRead(message);
   }
 
-  /** A request was answered; the next bytes are those of a new head. */
+  /** Expects the head of the next request, after a request was read in full. */
   void expectHead() {
     isInHead = true;
-    isAnyLine = false;
-    lineIsEmpty = true;
-    isFolded = false;
+    hasAnyLine = false;
+    isLineEmpty = true;
+    hasFoldedLine = false;
     headDeadline = Long.MAX_VALUE;
     lastByteAt = MonotonicClock.millis();
   }
 
-  /** The connection was in use; its idle time starts anew. */
-  void touch() {
+  /** Restarts the idle time of the connection, after a request has ended. */
+  void restartIdleTime() {
     lastByteAt = MonotonicClock.millis();
   }
 
-  /** The head was read. */
+  /** Notes that the head has been decoded. */
   void onHead() {
     isInHead = false;
     headDeadline = Long.MAX_VALUE;
   }
 
-  boolean isFolded() {
-    return isFolded;
+  /** Whether the head that arrived last contains a folded header line. */
+  boolean hasFoldedLine() {
+    return hasFoldedLine;
   }
 
+  /**
+   * Returns when bytes last arrived or the idle time was restarted, on the monotonic clock,
+   * milliseconds.
+   */
   long lastByteAt() {
     return lastByteAt;
   }
 
-  /** When the head that is arriving has to be complete; a very late time while none is. */
+  /**
+   * Returns when the head that is arriving must be complete, on the monotonic clock, milliseconds;
+   * {@link Long#MAX_VALUE} while no head is arriving.
+   */
   long headDeadline() {
     return headDeadline;
   }
@@ -73,14 +81,14 @@
     for (int i = bytes.readerIndex(); i < bytes.writerIndex() && isInHead; i++) {
       byte next = bytes.getByte(i);
       if (next == '\n') {
-        if (lineIsEmpty && isAnyLine) {
+        if (isLineEmpty && hasAnyLine) {
           isInHead = false;
         }
-        lineIsEmpty = true;
+        isLineEmpty = true;
       } else if (next != '\r') {
-        isFolded |= lineIsEmpty && isAnyLine && (next == ' ' || next == '\t');
-        lineIsEmpty = false;
-        isAnyLine = true;
+        hasFoldedLine |= isLineEmpty && hasAnyLine && (next == ' ' || next == '\t');
+        isLineEmpty = false;
+        hasAnyLine = true;
       }
     }
   }
--- a/gateway/src/test/java/dev/ibishub/gateway/front/EventSplitterTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/front/EventSplitterTest.java
@@ -15,11 +15,11 @@
   }
 
   @Test
-  void eventsComeWholeHoweverTheirBytesArrive() {
+  void splitsEventsWhoseBytesArriveOneByOne() {
     EventSplitter splitter = new EventSplitter();
     List<EventSplitter.Event> events = new ArrayList<>();
     for (byte each : bytes(STREAM)) {
-      events.addAll(splitter.take(new byte[] {each}));
+      events.addAll(splitter.feed(new byte[] {each}));
     }
 
     assertThat(events).extracting(event -> event.id().orElseThrow()).containsExactly(1L, 2L);
@@ -27,35 +27,36 @@
     assertThat(events.get(1).bytes()).isEqualTo(bytes("id: 2\r\ndata: two\r\n\r\n"));
   }
 
-  // A caller sees a word cut in two and its rest twice. The target stopped in the middle of an
-  // event and another went on after the last whole one; the half had been passed on already.
+  // Guards against a caller that receives part of an event twice. When a target stops in the middle
+  // of an event, another one resumes after the last whole event; the part had already been passed
+  // on.
   @Test
-  void halfOfAnEventIsHeldBack() {
+  void holdsBackIncompleteEvent() {
     EventSplitter splitter = new EventSplitter();
 
-    assertThat(splitter.take(bytes("id: 1\ndata: on"))).isEmpty();
+    assertThat(splitter.feed(bytes("id: 1\ndata: on"))).isEmpty();
     assertThat(splitter.isWithinEvent()).isTrue();
   }
 
   @Test
-  void eventWithoutANumberHasNone() {
+  void leavesIdEmptyForEventWithoutId() {
     EventSplitter splitter = new EventSplitter();
 
-    assertThat(splitter.take(bytes("data: x\n\n")).get(0).id()).isEmpty();
+    assertThat(splitter.feed(bytes("data: x\n\n")).get(0).id()).isEmpty();
   }
 
   @Test
-  void lastNumberOfAnEventCounts() {
+  void usesLastNumericIdOfEvent() {
     EventSplitter splitter = new EventSplitter();
 
-    assertThat(splitter.take(bytes("id: 1\rid:  2 \r\nid: x\nid: \ndata: y\n\n")).get(0).id())
+    assertThat(splitter.feed(bytes("id: 1\rid:  2 \r\nid: x\nid: \ndata: y\n\n")).get(0).id())
         .hasValue(2);
   }
 
   @Test
-  void numberThatNoLongHoldsIsNone() {
+  void ignoresIdOfMoreThanEighteenDigits() {
     EventSplitter splitter = new EventSplitter();
 
-    assertThat(splitter.take(bytes("id: 1234567890123456789\n\n")).get(0).id()).isEmpty();
+    assertThat(splitter.feed(bytes("id: 1234567890123456789\n\n")).get(0).id()).isEmpty();
   }
 }
