--- a/gateway/src/test/java/dev/ibishub/gateway/front/FrontTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/front/FrontTest.java
@@ -36,29 +36,30 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Drives the front with raw bytes, against a target of raw bytes. */
+/** Tests the request path with raw bytes on both sides: those of a caller and those of a target. */
 final class FrontTest {
   private static final InetAddress LOOPBACK = InetAddress.getLoopbackAddress();
-  private static final Charset US = StandardCharsets.US_ASCII;
-  private static final int PATIENCE_MILLIS = 60_000;
+  private static final Charset ASCII = StandardCharsets.US_ASCII;
+  private static final int TIMEOUT_MILLIS = 60_000;
   private static final long AIM_MILLIS = 500;
   private static final String OK = "HTTP/1.1 200 OK\r\nsigned: 1\r\nContent-Length: 4\r\n\r\ngood";
 
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
 
-  /** Longer than a stream may be silent while others move. */
+  /** Longer than a stream may be silent while others make progress. */
   private static final long SILENCE_MILLIS = 1_500;
 
-  private static final int PIECE_MILLIS = 100;
+  /** Time between two events of a stream that makes progress, milliseconds. */
+  private static final int PIECE_INTERVAL_MILLIS = 100;
 
-  private final List<Frame> told = new CopyOnWriteArrayList<>();
-  private final CrashWatch crashes = new CrashWatch(told::add);
+  private final List<Frame> broadcasts = new CopyOnWriteArrayList<>();
+  private final CrashWatch crashes = new CrashWatch(broadcasts::add);
   private final TargetDirectory targets = new TargetDirectory("z", crashes::onLifeEnded);
   private final LimitWatch limits =
       new LimitWatch(
           new SharedLimits("own", LimitDivision.amongFewHolders()),
-          told::add,
+          broadcasts::add,
           new PrometheusRegistry());
   private ServerSocket target;
   private Optional<ServingConfiguration> configuration;
@@ -68,7 +69,7 @@
   @BeforeEach
   void start() throws IOException {
     target = new ServerSocket(0, 10, LOOPBACK);
-    target.setSoTimeout(PATIENCE_MILLIS);
+    target.setSoTimeout(TIMEOUT_MILLIS);
     targets.onAnnounced(
         new Target("t", "s", LOOPBACK.getHostAddress(), target.getLocalPort(), "z", 2, false, 1),
         1);
@@ -110,7 +111,7 @@
         "h",
         prefix,
         kind,
-        PATIENCE_MILLIS,
+        TIMEOUT_MILLIS,
         AIM_MILLIS,
         0,
         0,
@@ -140,14 +141,14 @@
 
   private Socket send(String bytes) throws IOException {
     Socket caller = new Socket(LOOPBACK, port);
-    caller.setSoTimeout(PATIENCE_MILLIS);
+    caller.setSoTimeout(TIMEOUT_MILLIS);
     caller.getOutputStream().write(bytes.getBytes(StandardCharsets.ISO_8859_1));
     caller.getOutputStream().flush();
     return caller;
   }
 
-  /** Sends bytes and returns all that comes until the connection closes. */
-  private String answerTo(String bytes) throws IOException {
+  /** Sends bytes and returns everything that arrives until the connection closes. */
+  private String responseTo(String bytes) throws IOException {
     try (Socket caller = send(bytes)) {
       return new String(caller.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
@@ -165,8 +166,9 @@
     return head.toString();
   }
 
-  // A second request, which nobody sent, runs at a target. One reader of a request went by its
-  // length and the next by its chunks, or took a folded or misspelled header for another one.
+  // Guards against request smuggling: a target runs a second request that nobody sent, as two
+  // parsers read one request differently. One goes by the length and the other by the chunks, or
+  // one takes a folded or misspelled header for another one.
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -183,86 +185,86 @@
         "nonsense\r\n\r\n"
       })
   @SuppressWarnings("StringConcatToTextBlock") // Line ends of HTTP are not those of a text block.
-  void unclearRequestIsRefusedAndItsConnectionClosed(String bytes) throws IOException {
-    assertThat(answerTo(bytes)).startsWith("HTTP/1.1 400 ").containsIgnoringCase("close");
+  void ambiguousRequestIsRejectedAndItsConnectionClosed(String bytes) throws IOException {
+    assertThat(responseTo(bytes)).startsWith("HTTP/1.1 400 ").containsIgnoringCase("close");
   }
 
   @Test
-  void headersBeyondTheLimitAreRefused() throws IOException {
+  void headersBeyondTheLimitAreRejected() throws IOException {
     String large = "GET /once/ HTTP/1.1\r\nHost: h\r\nName: " + "x".repeat(700) + "\r\n\r\n";
 
-    assertThat(answerTo(large)).startsWith("HTTP/1.1 431 ");
+    assertThat(responseTo(large)).startsWith("HTTP/1.1 431 ");
   }
 
   @Test
-  void bodyBeyondTheLimitIsRefusedBeforeItIsIn() throws IOException {
-    assertThat(answerTo("POST /once/ HTTP/1.1\r\nHost: h\r\nContent-Length: 101\r\n\r\n"))
+  void bodyBeyondTheLimitIsRejectedBeforeItArrives() throws IOException {
+    assertThat(responseTo("POST /once/ HTTP/1.1\r\nHost: h\r\nContent-Length: 101\r\n\r\n"))
         .startsWith("HTTP/1.1 413 ");
   }
 
   @Test
-  void slowSenderIsToldSo() throws IOException {
-    assertThat(answerTo("GET /once/ HTTP/1.1\r\nHos")).startsWith("HTTP/1.1 408 ");
-    assertThat(answerTo("POST /once/ HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nab"))
+  void slowSenderIsRejectedWithTimeout() throws IOException {
+    assertThat(responseTo("GET /once/ HTTP/1.1\r\nHos")).startsWith("HTTP/1.1 408 ");
+    assertThat(responseTo("POST /once/ HTTP/1.1\r\nHost: h\r\nContent-Length: 9\r\n\r\nab"))
         .startsWith("HTTP/1.1 408 ");
   }
 
-  // Callers with good keys are told that they have none. The process had just started and knew no
-  // configuration, and judged by an empty one.
+  // Guards against refusing valid keys: a process that has just started and knows no configuration
+  // must not judge requests by an empty one.
   @Test
-  void processWithoutAConfigurationSaysNotReady() throws IOException {
+  void processWithoutAConfigurationIsNotReady() throws IOException {
     configuration = Optional.empty();
 
-    assertThat(answerTo("GET /once/ HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
+    assertThat(responseTo("GET /once/ HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
         .startsWith("HTTP/1.1 503 ")
         .containsIgnoringCase("retry-after");
   }
 
-  // An engine works on for nobody. The caller left while its answer was being made, and the entry
-  // noticed only when it wrote the answer.
+  // Guards against an engine that works on after its caller disconnected, which the entry noticed
+  // only when it wrote the response.
   @Test
-  void workStopsWhenTheCallerLeaves() throws IOException {
+  void attemptIsCancelledWhenTheCallerDisconnects() throws IOException {
     try (Socket caller = send("GET /any/x HTTP/1.1\r\nHost: h\r\n\r\n");
-        Socket seen = target.accept()) {
-      seen.setSoTimeout(PATIENCE_MILLIS);
-      assertThat(readHead(seen.getInputStream())).startsWith("GET /any/x HTTP/1.1\r\n");
+        Socket accepted = target.accept()) {
+      accepted.setSoTimeout(TIMEOUT_MILLIS);
+      assertThat(readHead(accepted.getInputStream())).startsWith("GET /any/x HTTP/1.1\r\n");
       caller.close();
 
-      assertThat(seen.getInputStream().read()).isEqualTo(-1);
+      assertThat(accepted.getInputStream().read()).isEqualTo(-1);
     }
   }
 
   @Test
-  void keptConnectionServesOneRequestAfterTheOther() throws IOException {
+  void keptAliveConnectionServesRequestsInSequence() throws IOException {
     try (Socket caller = send("GET /any/1 HTTP/1.1\r\nHost: h\r\n\r\n")) {
       for (int request = 1; request <= 3; request++) {
-        answerAt("/any/" + request, OK);
+        respondAt("/any/" + request, OK);
         assertThat(readHead(caller.getInputStream())).startsWith("HTTP/1.1 200 ");
-        assertThat(caller.getInputStream().readNBytes(4)).isEqualTo("good".getBytes(US));
+        assertThat(caller.getInputStream().readNBytes(4)).isEqualTo("good".getBytes(ASCII));
         String next = "GET /any/" + (request + 1) + " HTTP/1.1\r\nHost: h\r\n\r\n";
-        caller.getOutputStream().write(next.getBytes(US));
+        caller.getOutputStream().write(next.getBytes(ASCII));
       }
     }
   }
 
-  private void answerAt(String path, String answer) throws IOException {
-    try (Socket seen = target.accept()) {
-      assertThat(readHead(seen.getInputStream())).startsWith("GET " + path + " ");
-      seen.getOutputStream().write(answer.getBytes(US));
-      seen.getOutputStream().flush();
+  private void respondAt(String path, String response) throws IOException {
+    try (Socket accepted = target.accept()) {
+      assertThat(readHead(accepted.getInputStream())).startsWith("GET " + path + " ");
+      accepted.getOutputStream().write(response.getBytes(ASCII));
+      accepted.getOutputStream().flush();
     }
   }
 
-  private String relayed(String answer) throws IOException {
+  private String relayed(String response) throws IOException {
     try (Socket caller =
         send("GET /once/x HTTP/1.1\r\nHost: h\r\nid: 7\r\nConnection: close\r\n\r\n")) {
-      answerAt("/once/x", answer);
+      respondAt("/once/x", response);
       return new String(caller.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
   }
 
-  // A caller takes half a page, another's page, or bytes that no target vouches for, for its
-  // answer.
+  // Guards against a caller that accepts a partial response, another request's response, or an
+  // unsigned or altered response.
   @ParameterizedTest
   @ValueSource(
       strings = {
@@ -274,48 +276,47 @@
         "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
         "what is this\r\n\r\n"
       })
-  void unusableAnswerEndsAsOutcomeUnknown(String answer) throws IOException {
-    assertThat(relayed(answer)).startsWith("HTTP/1.1 502 ");
+  void unusableResponseEndsAsBadGateway(String response) throws IOException {
+    assertThat(relayed(response)).startsWith("HTTP/1.1 502 ");
   }
 
   @Test
-  void refusalOfTheTargetIsPassedOnAsNotRun() throws IOException {
+  void refusalByTheTargetIsReturnedWithRetryAfter() throws IOException {
     assertThat(relayed("HTTP/1.1 503 Busy\r\nnot-run: 1\r\nContent-Length: 0\r\n\r\n"))
         .startsWith("HTTP/1.1 503 ")
         .containsIgnoringCase("retry-after");
   }
 
   @Test
-  void failureOfTheTargetIsPassedOnAsItIs() throws IOException {
+  void errorResponseOfTheTargetIsPassedOnUnchanged() throws IOException {
     assertThat(relayed("HTTP/1.1 500 No\r\nsigned: 1\r\nContent-Length: 3\r\n\r\nbad"))
         .startsWith("HTTP/1.1 500 ")
         .endsWith("bad");
   }
 
-  private static void event(Socket seen, int id) throws IOException {
+  private static void event(Socket accepted, int id) throws IOException {
     String bytes = "id: " + id + "\ndata: x\n\n";
     String chunk = Integer.toHexString(bytes.length()) + "\r\n" + bytes + "\r\n";
-    seen.getOutputStream().write(chunk.getBytes(US));
-    seen.getOutputStream().flush();
+    accepted.getOutputStream().write(chunk.getBytes(ASCII));
+    accepted.getOutputStream().flush();
   }
 
   @SuppressWarnings("StringConcatToTextBlock") // Line ends of HTTP are not those of a text block.
   private Socket acceptStream(ServerSocket at) throws IOException {
-    Socket seen = at.accept();
-    seen.setSoTimeout(PATIENCE_MILLIS);
-    readHead(seen.getInputStream());
+    Socket accepted = at.accept();
+    accepted.setSoTimeout(TIMEOUT_MILLIS);
+    readHead(accepted.getInputStream());
     String head =
         "HTTP/1.1 200 OK\r\nsigned: 1\r\nContent-Type: text/event-stream\r\n"
             + "Transfer-Encoding: chunked\r\n\r\n";
-    seen.getOutputStream().write(head.getBytes(US));
-    return seen;
+    accepted.getOutputStream().write(head.getBytes(ASCII));
+    return accepted;
   }
 
-  // A reader's text stops in the middle of a sentence, and two seconds later the reader is gone.
-  // The connection to the target went silent without being closed, while all other streams moved
-  // on.
+  // Guards against callers that leave after two seconds of silence. A connection to a target went
+  // silent without being closed, while all other streams made progress.
   @Test
-  void streamThatAloneGoesSilentGoesOnAtAnotherTarget() throws IOException {
+  void streamThatAloneGoesSilentResumesAtAnotherTarget() throws IOException {
     String request = "POST /stream/x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n";
     try (ServerSocket other = new ServerSocket(0, 10, LOOPBACK);
         Socket caller = send(request);
@@ -333,7 +334,7 @@
         next = acceptOrNull(other);
       }
       assertThat(next).isNotNull();
-      next.setSoTimeout(PATIENCE_MILLIS);
+      next.setSoTimeout(TIMEOUT_MILLIS);
       assertThat(readHead(next.getInputStream())).contains("after: 1\r\n");
       assertThat(silent.getInputStream().read()).isEqualTo(-1);
       assertThat(neighbour.isClosed() || caller.isClosed()).isFalse();
@@ -341,55 +342,55 @@
     }
   }
 
-  // A page fails although the target that was asked first was about to answer. It had been silent
-  // for a while and was given up for another one, which failed.
+  // Guards against a failed request whose first target was about to respond. That target had been
+  // silent for a while and was abandoned for another one, which failed.
   @Test
-  void silentTargetMayStillAnswerAfterAnotherWasAskedAsWell() throws IOException {
+  void silentTargetMayStillRespondAfterHedgedRequestFailed() throws IOException {
     try (ServerSocket other = new ServerSocket(0, 10, LOOPBACK);
         Socket caller = send("GET /any/x HTTP/1.1\r\nHost: h\r\n\r\n");
         Socket silent = target.accept()) {
       targets.onAnnounced(
           new Target("u", "s", LOOPBACK.getHostAddress(), other.getLocalPort(), "z", 2, false, 1),
           2);
-      other.setSoTimeout(PATIENCE_MILLIS);
+      other.setSoTimeout(TIMEOUT_MILLIS);
       try (Socket failing = other.accept()) {
         readHead(failing.getInputStream());
         String failure = "HTTP/1.1 500 No\r\nsigned: 1\r\nContent-Length: 3\r\n\r\nbad";
-        failing.getOutputStream().write(failure.getBytes(US));
+        failing.getOutputStream().write(failure.getBytes(ASCII));
         assertThat(failing.getInputStream().read()).isEqualTo(-1);
       }
-      silent.getOutputStream().write(OK.getBytes(US));
+      silent.getOutputStream().write(OK.getBytes(ASCII));
 
       assertThat(readHead(caller.getInputStream())).startsWith("HTTP/1.1 200 ");
     }
   }
 
-  // A reader is refused although its group opens within the second. All ranks are there and say
-  // that they are closed, as the group is just forming.
+  // Guards against refusing requests shortly before a group opens. While a group forms, all its
+  // ranks are there and report that they are closed; it opens within a second.
   @Test
-  void groupThatIsAboutToOpenIsWaitedFor() throws IOException {
+  void requestWaitsForGroupThatIsAboutToOpen() throws IOException {
     targets.onReport(LOOPBACK.getHostAddress(), new TargetReport(0, 1, false, now()));
     try (Socket caller = send("GET /any/x HTTP/1.1\r\nHost: h\r\n\r\n")) {
       targets.onReport(LOOPBACK.getHostAddress(), new TargetReport(0, 1, true, now()));
-      answerAt("/any/x", OK);
+      respondAt("/any/x", OK);
 
       assertThat(readHead(caller.getInputStream())).startsWith("HTTP/1.1 200 ");
     }
   }
 
   @Test
-  void groupThatDoesNotOpenIsNotWaitedForLong() throws IOException {
+  void requestIsRefusedWhenGroupDoesNotOpen() throws IOException {
     targets.onReport(LOOPBACK.getHostAddress(), new TargetReport(0, 1, false, now() + 60_000));
 
-    assertThat(answerTo("GET /any/x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
+    assertThat(responseTo("GET /any/x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n"))
         .startsWith("HTTP/1.1 503 ")
         .containsIgnoringCase("retry-after");
   }
 
-  // A reader's text ends in the middle although its target would have gone on a second later. The
-  // stream was given up as silent, and there was no other target to go on at.
+  // Guards against a stream that is cut off although its target would have continued a second
+  // later: it was abandoned as silent while there was no other target to resume it at.
   @Test
-  void silentStreamStaysWhereNoOtherTargetIsFree() throws IOException {
+  void silentStreamStaysAtItsTargetWithoutAnother() throws IOException {
     String request = "POST /stream/x HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\n\r\n";
     try (Socket caller = send(request);
         Socket silent = acceptStream(target);
@@ -400,7 +401,7 @@
       for (int id = 1; now() < silentUntil; id++) {
         event(moving, id);
         neighbour.getInputStream().skip(neighbour.getInputStream().available());
-        acceptOrNull(target, PIECE_MILLIS);
+        acceptOrNull(target, PIECE_INTERVAL_MILLIS);
       }
       event(silent, 2);
 
@@ -437,23 +438,24 @@
     }
   }
 
-  // A request fails although the service has a sound target. The one that was chosen had ended and
-  // another one has its address, which refuses what is not meant for it.
+  // Guards against a failed request although the service has a healthy target. The chosen target
+  // had ended, and another one at its address refuses requests that are meant for the first.
   @Test
-  void requestForATargetThatIsGoneGoesToAnother() throws IOException {
+  void requestForReplacedTargetIsSentToAnotherTarget() throws IOException {
     try (ServerSocket other = new ServerSocket(0, 10, LOOPBACK);
         Socket caller = send("GET /once/x HTTP/1.1\r\nHost: h\r\n\r\n");
-        Socket seen = target.accept()) {
-      readHead(seen.getInputStream());
+        Socket accepted = target.accept()) {
+      readHead(accepted.getInputStream());
       targets.onAnnounced(
           new Target("u", "s", LOOPBACK.getHostAddress(), other.getLocalPort(), "z", 2, false, 1),
           2);
-      seen.getOutputStream()
-          .write("HTTP/1.1 421 Not I\r\nnot-run: 1\r\nContent-Length: 0\r\n\r\n".getBytes(US));
-      other.setSoTimeout(PATIENCE_MILLIS);
+      accepted
+          .getOutputStream()
+          .write("HTTP/1.1 421 Not I\r\nnot-run: 1\r\nContent-Length: 0\r\n\r\n".getBytes(ASCII));
+      other.setSoTimeout(TIMEOUT_MILLIS);
       try (Socket second = other.accept()) {
         readHead(second.getInputStream());
-        second.getOutputStream().write(OK.getBytes(US));
+        second.getOutputStream().write(OK.getBytes(ASCII));
       }
 
       assertThat(readHead(caller.getInputStream())).startsWith("HTTP/1.1 200 ");
@@ -467,25 +469,28 @@
   }
 
   @Test
-  void bytesAfterTheAnswerBelongToNobody() throws IOException {
+  void bytesAfterTheResponseAreDropped() throws IOException {
     assertThat(relayed(OK + OK)).startsWith("HTTP/1.1 200 ").endsWith("\r\n\r\ngood");
   }
 
   @Test
-  void answerWithoutALengthIsWholeWhenItsConnectionEndsWell() throws IOException {
+  void responseWithoutLengthIsCompleteWhenItsConnectionClosesCleanly() throws IOException {
     assertThat(relayed("HTTP/1.1 200 OK\r\nsigned: 1\r\n\r\ngood")).endsWith("\r\n\r\ngood");
   }
 
   private ServerSocket announceAnother(String id) throws IOException {
     ServerSocket another = new ServerSocket(0, 10, LOOPBACK);
-    another.setSoTimeout(PATIENCE_MILLIS);
+    another.setSoTimeout(TIMEOUT_MILLIS);
     targets.onAnnounced(
         new Target(id, "s", LOOPBACK.getHostAddress(), another.getLocalPort(), "z", 2, false, 1),
         1);
     return another;
   }
 
-  /** Ends as a process does that crashes while it runs a request: no port, no connection. */
+  /**
+   * Simulates a target process that crashes while it runs a request: closes its port and the
+   * connection.
+   */
   private static void crash(ServerSocket at, Socket running) throws IOException {
     at.close();
     running.close();
@@ -497,9 +502,9 @@
     return running;
   }
 
-  // Guards against a request that crashes each target it is sent to, and is sent on for ever.
+  // Guards against endless retries of a request that crashes every target that runs it.
   @Test
-  void requestThatCrashedTwoTargetsIsRefusedAndOthersAreServed() throws IOException {
+  void requestThatCrashedTwoTargetsIsQuarantinedAndOthersAreServed() throws IOException {
     String poison = "GET /stream/x HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
     try (Socket caller = send(poison)) {
       Socket atFirst = acceptRequest(target);
@@ -512,30 +517,30 @@
         assertThat(readHead(caller.getInputStream())).startsWith("HTTP/1.1 502 ");
         targets.onDropped("u", 0, now());
 
-        assertThat(answerTo(poison))
+        assertThat(responseTo(poison))
             .startsWith("HTTP/1.1 503 ")
             .contains("\"code\":2013")
             .doesNotContainIgnoringCase("retry-after");
         try (Socket other = send(poison.replace("/x", "/y"));
-            Socket seen = third.accept()) {
-          assertThat(readHead(seen.getInputStream())).startsWith("GET /stream/y ");
-          seen.getOutputStream().write(OK.getBytes(US));
+            Socket accepted = third.accept()) {
+          assertThat(readHead(accepted.getInputStream())).startsWith("GET /stream/y ");
+          accepted.getOutputStream().write(OK.getBytes(ASCII));
           assertThat(readHead(other.getInputStream())).startsWith("HTTP/1.1 200 ");
         }
       }
     }
-    assertThat(told).hasSize(2);
+    assertThat(broadcasts).hasSize(2);
   }
 
-  // Guards against requests that are taken for poison because a target lost some answers.
+  // Guards against quarantining a request because a target lost some responses.
   @Test
-  void targetThatLosesAnswersHasNotCrashed() throws IOException {
+  void targetThatClosesAConnectionIsNotReportedAsCrashed() throws IOException {
     try (Socket caller = send("GET /once/x HTTP/1.1\r\nHost: h\r\n\r\n")) {
-      try (Socket seen = target.accept()) {
-        readHead(seen.getInputStream());
+      try (Socket accepted = target.accept()) {
+        readHead(accepted.getInputStream());
       }
       assertThat(readHead(caller.getInputStream())).startsWith("HTTP/1.1 502 ");
     }
-    assertThat(told).isEmpty();
+    assertThat(broadcasts).isEmpty();
   }
 }
