--- a/gateway/src/main/java/dev/ibishub/gateway/membership/PeerMesh.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/membership/PeerMesh.java
@@ -30,75 +30,82 @@
 import java.util.stream.Stream;
 
 /**
- * Links between entries, and what they say over them. Thread-safe by one lock.
+ * The links between entries, and the heartbeats and reports that they exchange. Thread-safe by one
+ * lock.
  *
- * <p>Each entry links to the few that come first, see {@link EntryRoster}, and these tell it of all
- * others. It is found by the seeds of the settings, by the platform's store, and by what other
- * entries name.
+ * <p>Each entry links to the first few in the order of {@link EntryRoster}, its relays, which tell
+ * it of all others. Entries are found through the seeds in the settings, the platform's store, and
+ * what other entries report.
+ *
+ * <p>Used on the platform of ibishub's users; the counterpart behind ibishub's own interface is
+ * {@code PeerLinks} in the entry module.
  */
 public final class PeerMesh implements LinkListener {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Time between two heartbeats, milliseconds. */
-  static final long BEAT_MILLIS = 200;
+  /** Interval between heartbeats, milliseconds. */
+  static final long HEARTBEAT_MILLIS = 200;
 
-  /** Time between two looks at which links there should be, milliseconds. */
-  private static final long LOOK_MILLIS = 100;
+  /** Interval between checks of which links to open or close, milliseconds. */
+  private static final long LINK_CHECK_MILLIS = 100;
 
-  /** Time between two tries to reach an entry, milliseconds. */
-  private static final long DIAL_MILLIS = 500;
+  /** Delay between two attempts to connect to the same entry, milliseconds. */
+  private static final long CONNECT_RETRY_MILLIS = 500;
 
-  /** The same while this entry makes up its mind whether it leads, milliseconds. */
-  private static final long SETTLING_DIAL_MILLIS = 150;
+  /** The same delay until this entry has settled whether it leads, milliseconds. */
+  private static final long SETTLING_CONNECT_RETRY_MILLIS = 150;
 
-  /** How long a link that is not wanted any more stays, as views change. Milliseconds. */
-  private static final long UNWANTED_MILLIS = 2_000;
+  /**
+   * How long a link that is no longer needed stays open, milliseconds; a hysteresis, as the order
+   * of the entries may change back.
+   */
+  private static final long UNWANTED_LINK_MILLIS = 2_000;
 
-  /** After this long without an own turn, what is known of others is out of date. Milliseconds. */
+  /** Gap between two ticks after which what this entry knows of others is stale, milliseconds. */
   private static final long STALL_MILLIS = 600;
 
-  /** How long an entry listens before it takes the lead. Milliseconds. */
+  /** How long an entry listens after a start or a stall before it may lead, milliseconds. */
   static final long SETTLING_MILLIS = 800;
 
   /**
-   * How long an entry listens before it does what may be done by several at once, milliseconds; in
-   * that time most of those that start together have heard each other. An entry that waited until
-   * it could lead before it linked to the agents made the first map 0.6 s later after a loss of
-   * power.
+   * How long an entry listens before it takes up work that several entries may do at once,
+   * milliseconds; within this time most entries that start together have heard each other. Linking
+   * to the agents only once an entry may lead would delay the first expert map after a power loss
+   * by 0.6 s.
    */
-  static final long FIRST_WORDS_MILLIS = 250;
+  static final long SHARED_WORK_SETTLING_MILLIS = 250;
 
   /**
-   * How much longer it listens while a first link to a known entry is still coming about. Entries
-   * that start together are slow then: without this five of seven took the lead within 0.4 s after
-   * a loss of power, and leaders that refuse each other wait a second each. Milliseconds; more than
-   * a connection attempt may take.
+   * How much longer an entry listens before it may lead while a first link to a known entry is
+   * pending, milliseconds; longer than a connection attempt may take. Entries that start together
+   * connect slowly: without this wait, five of seven entries took the lead within 0.4 s of a power
+   * loss, and leaders that reject each other's orders back off for a second each.
    */
-  static final long LONGER_SETTLING_MILLIS = 1_200;
+  static final long EXTRA_SETTLING_MILLIS = 1_200;
 
   private final Self self;
   private final WireTransport transport;
   private final Supplier<List<Frame>> snapshots;
   private final Listener listener;
   private final EntryRoster roster;
-  private final Map<Link, Known> links = new HashMap<>();
-  private final Map<String, Dial> dials = new HashMap<>();
-  private HeardRoster heard = HeardRoster.NOBODY;
-  private Set<String> wanted = Set.of();
-  private Set<String> alive = Set.of();
+  private final Map<Link, PeerState> links = new HashMap<>();
+  private final Map<String, ConnectState> connectStates = new HashMap<>();
+  private RosterSnapshot directRoster = RosterSnapshot.EMPTY;
+  private Set<String> hostsToLink = Set.of();
+  private Set<String> aliveHosts = Set.of();
   private long lastTickAt;
-  private long nextBeatAt;
-  private long nextLookAt;
-  private long leadsFrom;
+  private long nextHeartbeatAt;
+  private long nextLinkCheckAt;
+  private long mayLeadFrom;
 
   /**
-   * What an entry says of itself.
+   * What an entry announces of itself.
    *
-   * @param processId its name
+   * @param processId the name of the process
    * @param host its IP number
-   * @param linkPort the port for links, the same for all
-   * @param callerAddress where callers' requests are taken
-   * @param startedAt when it started, milliseconds of the time of day
+   * @param linkPort the port at which all entries accept links
+   * @param callerAddress host and port at which it takes callers' requests
+   * @param startedAt when it started, milliseconds since the Unix epoch
    * @param isReady whether callers may be sent there
    * @param isLeaving whether it is about to stop
    */
@@ -118,14 +125,15 @@
   }
 
   /**
-   * Told of what other entries know.
+   * Callbacks for what other entries report.
    *
-   * @param onProgress takes what one read of the platform's records; returns whether it was news
-   * @param onCrashes takes what one found of requests that crash targets; returns whether it was
-   *     news
-   * @param onLimits takes what targets said to one of how many requests they take; returns whether
-   *     it was news
-   * @param onLoads takes what one heard of the targets' load
+   * @param onProgress takes records of the platform that another entry read; returns whether any
+   *     were news
+   * @param onCrashes takes another entry's findings on requests that crash targets; returns whether
+   *     any were news
+   * @param onLimits takes the request limits that targets stated to another entry; returns whether
+   *     any were news
+   * @param onLoads takes the loads of targets that another entry collected
    */
   public record Listener(
       Predicate<RecordProgress> onProgress,
@@ -133,24 +141,26 @@
       Predicate<LimitReport> onLimits,
       Consumer<LoadReports> onLoads) {}
 
-  private static final class Known {
+  /** What is known of the entry at the other end of a link, and what was sent to it. */
+  private static final class PeerState {
     private String host = "";
-    private boolean isOpener;
+    private boolean isOpenedHere;
     private long unwantedSince = Long.MAX_VALUE;
-    private long toldRoster = HeardRoster.NOBODY.number();
-    private long heardRoster = HeardRoster.NOBODY.number();
-    private List<EntryFacts> heard = List.of();
+    private long sentRosterVersion = RosterSnapshot.EMPTY.version();
+    private long receivedRosterVersion = RosterSnapshot.EMPTY.version();
+    private List<EntryFacts> receivedRoster = List.of();
   }
 
-  private static final class Dial {
-    private long nextAt;
-    private boolean isUnderWay;
+  /** The attempts to connect to one host. */
+  private static final class ConnectState {
+    private long nextAttemptAt;
+    private boolean isInProgress;
   }
 
   /**
-   * Creates a mesh without peers.
+   * Creates a mesh without links.
    *
-   * @param snapshots what to tell an entry that has just been linked: all that is known
+   * @param snapshots returns all that this entry knows, which is sent over each new link
    */
   public PeerMesh(
       Self self, WireTransport transport, Supplier<List<Frame>> snapshots, Listener listener) {
@@ -161,38 +171,38 @@
     this.roster = new EntryRoster(self.host(), self.startedAt());
   }
 
-  /** Names IP numbers at which there may be entries. */
-  public synchronized void addHosts(Collection<String> named, long now) {
-    named.forEach(host -> roster.onNamed(host, now));
+  /** Adds IP numbers at which there may be entries. */
+  public synchronized void addHosts(Collection<String> hosts, long now) {
+    hosts.forEach(host -> roster.onNamed(host, now));
   }
 
-  /** Sends heartbeats and opens missing links. To be called often. */
+  /** Sends heartbeats, and opens and closes links, as they fall due. To be called often. */
   public synchronized void tick(long now) {
-    if (leadsFrom == 0 || now - lastTickAt > STALL_MILLIS) {
-      // A process that stood still has not heard the others; it must not take them for gone.
-      leadsFrom = now + SETTLING_MILLIS;
+    if (mayLeadFrom == 0 || now - lastTickAt > STALL_MILLIS) {
+      // A stalled process has not heard the others and must not conclude that they are gone.
+      mayLeadFrom = now + SETTLING_MILLIS;
     }
     lastTickAt = now;
-    if (now >= nextBeatAt) {
-      nextBeatAt = now + BEAT_MILLIS;
-      beat(now);
+    if (now >= nextHeartbeatAt) {
+      nextHeartbeatAt = now + HEARTBEAT_MILLIS;
+      sendHeartbeats(now);
     }
-    if (now >= nextLookAt) {
-      nextLookAt = now + LOOK_MILLIS;
-      look(now);
+    if (now >= nextLinkCheckAt) {
+      nextLinkCheckAt = now + LINK_CHECK_MILLIS;
+      checkLinks(now);
     }
   }
 
-  /** Tells all linked entries what this one read or heard. */
+  /** Sends a message to all linked entries. */
   public void broadcast(Frame frame) {
-    List<Link> targets;
+    List<Link> peers;
     synchronized (this) {
-      targets = open();
+      peers = openLinks();
     }
-    targets.forEach(link -> link.offer(frame));
+    peers.forEach(link -> link.offer(frame));
   }
 
-  /** Returns the addresses that callers may use, this entry's own first. */
+  /** Returns the addresses at which callers may send requests, this entry's own first. */
   public synchronized List<String> callerAddresses(long now) {
     List<String> addresses = new ArrayList<>();
     if (self.isReady().getAsBoolean() && !self.isLeaving().getAsBoolean()) {
@@ -207,12 +217,12 @@
     return addresses;
   }
 
-  /** Returns how many entries send requests to targets, this one included. */
+  /** Returns the number of entries that send requests to targets, including this one. */
   public synchronized int entries(long now) {
     return 1 + roster.countAlive(now);
   }
 
-  /** Returns the hosts of the entries that stay, this one among them unless it is about to stop. */
+  /** Returns the hosts of the entries that are not leaving, including this one unless it is. */
   public synchronized Set<String> stayingHosts(long now) {
     Stream<String> others =
         roster.alive(now).stream().filter(entry -> !entry.isLeaving()).map(EntryFacts::host);
@@ -220,30 +230,30 @@
     return Stream.concat(own, others).collect(Collectors.toUnmodifiableSet());
   }
 
-  /** Returns this entry's place among those that stay, from 0. */
+  /** Returns this entry's position, from 0, in the order of the entries that are not leaving. */
   public synchronized int turn(long now) {
     return roster.turn(now);
   }
 
   /**
-   * Whether this entry leads where one has to. Two may for a short while believe so; what a leader
-   * does has to bear it.
+   * Whether this entry is the leader. Two entries may be so for a short while; whatever a leader
+   * does must tolerate that.
    */
   public synchronized boolean leads(long now) {
     boolean hasSettled =
-        now >= leadsFrom
-            && (now >= leadsFrom + LONGER_SETTLING_MILLIS || !roster.isAnyPending(now));
+        now >= mayLeadFrom
+            && (now >= mayLeadFrom + EXTRA_SETTLING_MILLIS || !roster.isAnyPending(now));
     return hasSettled && isFirst(1, now);
   }
 
   /**
-   * Whether this entry seems to be among the first that stay. More entries than there are places
-   * may for a short while believe so, above all when all start at once.
+   * Whether this entry is among the first in the order of the entries that are not leaving. More
+   * than {@code places} entries may be so for a short while, above all when all start at once.
    *
-   * @param places how many there are to be
+   * @param places the number of entries wanted
    */
   public synchronized boolean isFirst(int places, long now) {
-    return now >= leadsFrom - SETTLING_MILLIS + FIRST_WORDS_MILLIS
+    return now >= mayLeadFrom - SETTLING_MILLIS + SHARED_WORK_SETTLING_MILLIS
         && now - lastTickAt <= STALL_MILLIS
         && !self.isLeaving().getAsBoolean()
         && roster.turn(now) < places;
@@ -252,12 +262,13 @@
   @Override
   public void onOpen(Link link) {
     synchronized (this) {
-      Known known = links.computeIfAbsent(link, any -> new Known());
-      // The next heartbeat may be 200 ms away, in which this entry is as good as unknown.
+      PeerState state = links.computeIfAbsent(link, any -> new PeerState());
+      // The next regular heartbeat may be 200 ms away; until it arrives the peer knows nothing of
+      // this entry.
       long now = MonotonicClock.millis();
-      heard = heard.next(roster.heard(now));
-      if (link.offer(BeatMessages.frame(self.facts(), heard, false, now))) {
-        known.toldRoster = heard.number();
+      directRoster = directRoster.next(roster.heard(now));
+      if (link.offer(HeartbeatMessages.frame(self.facts(), directRoster, false, now))) {
+        state.sentRosterVersion = directRoster.version();
       }
     }
     snapshots.get().forEach(link::offer);
@@ -266,11 +277,13 @@
   @Override
   public void onFrame(Link link, Frame frame) {
     switch (frame.getBodyCase()) {
-      case ENTRY_BEAT -> onBeat(link, frame.getEntryBeat());
+      case ENTRY_BEAT -> onHeartbeat(link, frame.getEntryBeat());
       case RECORD_PROGRESS ->
-          passOn(link, frame, listener.onProgress().test(frame.getRecordProgress()));
-      case CRASH_REPORT -> passOn(link, frame, listener.onCrashes().test(frame.getCrashReport()));
-      case LIMIT_REPORT -> passOn(link, frame, listener.onLimits().test(frame.getLimitReport()));
+          forwardIfNews(link, frame, listener.onProgress().test(frame.getRecordProgress()));
+      case CRASH_REPORT ->
+          forwardIfNews(link, frame, listener.onCrashes().test(frame.getCrashReport()));
+      case LIMIT_REPORT ->
+          forwardIfNews(link, frame, listener.onLimits().test(frame.getLimitReport()));
       case LOAD_REPORTS -> listener.onLoads().accept(frame.getLoadReports());
       default ->
           logger.atWarning().log(
@@ -286,115 +299,130 @@
     links.remove(link);
   }
 
-  private synchronized void onBeat(Link link, EntryBeat beat) {
+  private synchronized void onHeartbeat(Link link, EntryBeat beat) {
     long now = MonotonicClock.millis();
-    Known known = links.computeIfAbsent(link, any -> new Known());
-    known.host = beat.getSelf().getHost();
-    roster.onHeard(BeatMessages.facts(beat.getSelf()), now);
-    if (beat.getRoster() != known.heardRoster) {
-      known.heardRoster = beat.getRoster();
-      known.heard = BeatMessages.roster(beat);
+    PeerState state = links.computeIfAbsent(link, any -> new PeerState());
+    state.host = beat.getSelf().getHost();
+    roster.onHeard(HeartbeatMessages.facts(beat.getSelf()), now);
+    if (beat.getRoster() != state.receivedRosterVersion) {
+      state.receivedRosterVersion = beat.getRoster();
+      state.receivedRoster = HeartbeatMessages.roster(beat);
     }
-    IntStream.range(0, Math.min(known.heard.size(), beat.getAgesCount()))
-        .forEach(index -> roster.onTold(known.heard.get(index), now - beat.getAges(index), now));
+    IntStream.range(0, Math.min(state.receivedRoster.size(), beat.getAgesCount()))
+        .forEach(
+            index ->
+                roster.onTold(state.receivedRoster.get(index), now - beat.getAges(index), now));
   }
 
   /**
-   * Passes news on where its sender is linked to a few entries only. One that comes first is linked
-   * to all, so what it says needs no passing on.
+   * Forwards a message that was news, unless its sender is a relay. A relay is linked to all
+   * entries, so they have the message already.
    */
-  private void passOn(Link from, Frame frame, boolean isNews) {
+  private void forwardIfNews(Link from, Frame frame, boolean isNews) {
     if (!isNews) {
       return;
     }
     List<Link> others;
     synchronized (this) {
-      boolean isLinkedToAll = !links.containsKey(from) || wanted.contains(links.get(from).host);
-      others = isLinkedToAll ? List.of() : open();
+      boolean isLinkedToAll =
+          !links.containsKey(from) || hostsToLink.contains(links.get(from).host);
+      others = isLinkedToAll ? List.of() : openLinks();
     }
     others.stream().filter(link -> !link.equals(from)).forEach(link -> link.offer(frame));
   }
 
-  private void look(long now) {
-    wanted = new HashSet<>(roster.wanted(now));
+  private void checkLinks(long now) {
+    hostsToLink = new HashSet<>(roster.wanted(now));
     Set<String> linked =
         links.entrySet().stream()
             .filter(link -> link.getKey().isOpen())
             .map(link -> link.getValue().host)
             .collect(Collectors.toSet());
-    dials.keySet().removeIf(host -> !wanted.contains(host) && !dials.get(host).isUnderWay);
-    wanted.stream().filter(host -> !linked.contains(host)).forEach(host -> dial(host, now));
-    Map.copyOf(links).forEach((link, known) -> closeIfUnwanted(link, known, now));
+    connectStates
+        .keySet()
+        .removeIf(host -> !hostsToLink.contains(host) && !connectStates.get(host).isInProgress);
+    hostsToLink.stream().filter(host -> !linked.contains(host)).forEach(host -> connect(host, now));
+    Map.copyOf(links).forEach((link, state) -> closeIfUnwanted(link, state, now));
     logChanges(now);
   }
 
-  /** Closes a link that this entry opened; one that the other opened is the other's to close. */
-  private void closeIfUnwanted(Link link, Known known, long now) {
-    if (!known.isOpener || wanted.contains(known.host)) {
-      known.unwantedSince = Long.MAX_VALUE;
+  /**
+   * Closes a link that this entry opened and no longer needs. The peer closes the links that it
+   * opened itself.
+   */
+  private void closeIfUnwanted(Link link, PeerState state, long now) {
+    if (!state.isOpenedHere || hostsToLink.contains(state.host)) {
+      state.unwantedSince = Long.MAX_VALUE;
       return;
     }
-    known.unwantedSince = Math.min(known.unwantedSince, now);
-    if (now - known.unwantedSince >= UNWANTED_MILLIS) {
+    state.unwantedSince = Math.min(state.unwantedSince, now);
+    if (now - state.unwantedSince >= UNWANTED_LINK_MILLIS) {
       link.close();
     }
   }
 
   private void logChanges(long now) {
-    Set<String> before = alive;
-    alive = roster.alive(now).stream().map(EntryFacts::host).collect(Collectors.toSet());
-    alive.stream().filter(host -> !before.contains(host)).forEach(host -> log("entry.heard", host));
-    before.stream().filter(host -> !alive.contains(host)).forEach(host -> log("entry.lost", host));
+    Set<String> before = aliveHosts;
+    aliveHosts = roster.alive(now).stream().map(EntryFacts::host).collect(Collectors.toSet());
+    aliveHosts.stream()
+        .filter(host -> !before.contains(host))
+        .forEach(host -> log("entry.heard", host));
+    before.stream()
+        .filter(host -> !aliveHosts.contains(host))
+        .forEach(host -> log("entry.lost", host));
   }
 
   private void log(String event, String host) {
-    logger.atInfo().log("%s", LogEvent.of(event).with("host", host).with("alive", alive.size()));
+    logger.atInfo().log(
+        "%s", LogEvent.of(event).with("host", host).with("alive", aliveHosts.size()));
   }
 
-  /** Sends a heartbeat over each link, with the roster where the other side does not know it. */
-  private void beat(long now) {
-    heard = heard.next(roster.heard(now));
+  /** Sends a heartbeat over each link, with the roster where the peer lacks its current version. */
+  private void sendHeartbeats(long now) {
+    directRoster = directRoster.next(roster.heard(now));
     EntryFacts own = self.facts();
-    Frame brief = BeatMessages.frame(own, heard, true, now);
-    List<Link> open = open();
-    boolean isNews = open.stream().anyMatch(link -> !isRosterKnown(link));
-    Frame whole = isNews ? BeatMessages.frame(own, heard, false, now) : brief;
-    for (Link link : open) {
-      Known known = links.get(link);
-      if (link.offer(isRosterKnown(link) ? brief : whole)) {
-        known.toldRoster = heard.number();
+    Frame withoutRoster = HeartbeatMessages.frame(own, directRoster, true, now);
+    List<Link> openLinks = openLinks();
+    boolean isRosterNeeded = openLinks.stream().anyMatch(link -> !hasCurrentRoster(link));
+    Frame withRoster =
+        isRosterNeeded ? HeartbeatMessages.frame(own, directRoster, false, now) : withoutRoster;
+    for (Link link : openLinks) {
+      PeerState state = links.get(link);
+      if (link.offer(hasCurrentRoster(link) ? withoutRoster : withRoster)) {
+        state.sentRosterVersion = directRoster.version();
       }
     }
   }
 
-  private boolean isRosterKnown(Link link) {
-    return links.get(link).toldRoster == heard.number();
+  private boolean hasCurrentRoster(Link link) {
+    return links.get(link).sentRosterVersion == directRoster.version();
   }
 
-  private void dial(String host, long now) {
-    Dial dial = dials.computeIfAbsent(host, any -> new Dial());
-    if (dial.isUnderWay || now < dial.nextAt) {
+  private void connect(String host, long now) {
+    ConnectState attempt = connectStates.computeIfAbsent(host, any -> new ConnectState());
+    if (attempt.isInProgress || now < attempt.nextAttemptAt) {
       return;
     }
-    dial.isUnderWay = true;
+    attempt.isInProgress = true;
     transport
         .connect(host, self.linkPort(), this)
-        .whenComplete((link, failure) -> onDialed(dial, host, link));
+        .whenComplete((link, failure) -> onConnected(attempt, host, link));
   }
 
-  private synchronized void onDialed(Dial dial, String host, Link link) {
+  private synchronized void onConnected(ConnectState attempt, String host, Link link) {
     long now = MonotonicClock.millis();
-    dial.isUnderWay = false;
-    dial.nextAt = now + (now < leadsFrom ? SETTLING_DIAL_MILLIS : DIAL_MILLIS);
+    attempt.isInProgress = false;
+    attempt.nextAttemptAt =
+        now + (now < mayLeadFrom ? SETTLING_CONNECT_RETRY_MILLIS : CONNECT_RETRY_MILLIS);
     if (link != null && link.isOpen()) {
-      Known known = links.computeIfAbsent(link, any -> new Known());
-      known.host = host;
-      known.isOpener = true;
+      PeerState state = links.computeIfAbsent(link, any -> new PeerState());
+      state.host = host;
+      state.isOpenedHere = true;
     }
   }
 
-  /** Returns one open link to each entry; two that open one to each other have two. */
-  private List<Link> open() {
+  /** Returns one open link to each entry; two entries that linked to each other have two. */
+  private List<Link> openLinks() {
     return List.copyOf(
         links.keySet().stream()
             .filter(Link::isOpen)
--- a/gateway/src/main/java/dev/ibishub/gateway/membership/package-info.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Which entries there are, by their own heartbeats. */
+/** Discovery of the other entries and detection of their loss by heartbeats. */
 package dev.ibishub.gateway.membership;
--- a/gateway/src/test/java/dev/ibishub/gateway/membership/PeerMeshTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/membership/PeerMeshTest.java
@@ -25,7 +25,7 @@
 final class PeerMeshTest {
   private static final String OWN = "127.0.2.2";
   private static final String OTHER = "127.0.2.1";
-  private static final long STEP = 100;
+  private static final long STEP_MILLIS = 100;
 
   private final WireTransport transport =
       WireTransport.create(new Identity("entry-2", "entry", "z", 1), Optional.empty());
@@ -53,39 +53,40 @@
     transport.close();
   }
 
-  private void passes(long millis) {
-    for (long end = now + millis; now < end; now += STEP) {
+  private void advance(long millis) {
+    for (long end = now + millis; now < end; now += STEP_MILLIS) {
       mesh.tick(now);
     }
     mesh.tick(now);
   }
 
   @Test
-  void entryThatKnowsNoOtherLeadsAfterItHasListened() {
-    passes(PeerMesh.SETTLING_MILLIS - 2 * STEP);
+  void leadsAfterSettlingWhenNoOtherEntryIsKnown() {
+    advance(PeerMesh.SETTLING_MILLIS - 2 * STEP_MILLIS);
     assertThat(mesh.leads(now)).isFalse();
 
-    passes(3 * STEP);
+    advance(3 * STEP_MILLIS);
     assertThat(mesh.leads(now)).isTrue();
   }
 
-  // Maps stand still for seconds after a loss of power. All entries started at once on slow VMs;
-  // five of them had heard nobody within 0.8 s, took the lead, and refused each other's orders.
+  // Guards against several leaders after a power loss. When all entries started at once on slow
+  // VMs, five of them had heard nobody within 0.8 s, took the lead and rejected each other's
+  // orders, so expert maps did not change for seconds.
   @Test
-  void entryWaitsForAFirstLinkThatIsComingAbout() throws IOException {
+  void waitsLongerToLeadWhileFirstLinkIsPending() throws IOException {
     int port = freePort();
     PeerMesh waiting = mesh("entry-2", OWN, transport, port);
     try (ServerSocket slow = new ServerSocket()) {
       slow.bind(new InetSocketAddress(OTHER, port));
       waiting.addHosts(List.of(OTHER), now);
       long start = now;
-      for (; now <= start + PeerMesh.SETTLING_MILLIS + STEP; now += STEP) {
+      for (; now <= start + PeerMesh.SETTLING_MILLIS + STEP_MILLIS; now += STEP_MILLIS) {
         waiting.tick(now);
       }
       assertThat(waiting.leads(now)).isFalse();
 
-      for (; now <= start + PeerMesh.SETTLING_MILLIS + PeerMesh.LONGER_SETTLING_MILLIS; ) {
-        now += STEP;
+      for (; now <= start + PeerMesh.SETTLING_MILLIS + PeerMesh.EXTRA_SETTLING_MILLIS; ) {
+        now += STEP_MILLIS;
         waiting.tick(now);
       }
       assertThat(waiting.leads(now)).isTrue();
@@ -93,8 +94,8 @@
   }
 
   @Test
-  void entryThatStoodStillListensAnew() {
-    passes(PeerMesh.SETTLING_MILLIS + STEP);
+  void settlesAgainAfterStall() {
+    advance(PeerMesh.SETTLING_MILLIS + STEP_MILLIS);
     now += 5_000;
     mesh.tick(now);
 
@@ -113,30 +114,32 @@
     return Link.over(channel, new Link.Peer("entry-1", "entry", "z", 1));
   }
 
-  // Guards against an entry that is lost to all others because only its first heartbeat names it.
+  // Guards against losing an entry that only the first heartbeat of a relay names: the heartbeats
+  // after it hold just the times.
   @Test
-  void timesOfAKnownRosterKeepItsEntriesAlive() {
+  void timesAloneKeepEntriesOfKnownRosterAlive() {
     Link relay = link(new EmbeddedChannel());
     mesh.onOpen(relay);
-    HeardRoster old =
-        HeardRoster.NOBODY.next(Map.of(facts("127.0.2.3"), now - 10 * EntryRoster.ALIVE_MILLIS));
-    mesh.onFrame(relay, BeatMessages.frame(facts(OTHER), old, false, now));
+    RosterSnapshot old =
+        RosterSnapshot.EMPTY.next(Map.of(facts("127.0.2.3"), now - 10 * EntryRoster.ALIVE_MILLIS));
+    mesh.onFrame(relay, HeartbeatMessages.frame(facts(OTHER), old, false, now));
     assertThat(mesh.entries(MonotonicClock.millis())).isEqualTo(2);
 
-    HeardRoster fresh = old.next(Map.of(facts("127.0.2.3"), now));
-    mesh.onFrame(relay, BeatMessages.frame(facts(OTHER), fresh, true, now));
+    RosterSnapshot fresh = old.next(Map.of(facts("127.0.2.3"), now));
+    mesh.onFrame(relay, HeartbeatMessages.frame(facts(OTHER), fresh, true, now));
     assertThat(mesh.entries(MonotonicClock.millis())).isEqualTo(3);
   }
 
   @Test
-  void heartbeatHoldsTheRosterOnlyWhereItIsNews() {
+  void heartbeatHoldsRosterOnlyWhenPeerLacksIt() {
     EmbeddedChannel channel = new EmbeddedChannel();
     Link relay = link(channel);
     mesh.onOpen(relay);
     mesh.onFrame(
-        relay, BeatMessages.frame(facts(OTHER), HeardRoster.NOBODY, true, MonotonicClock.millis()));
+        relay,
+        HeartbeatMessages.frame(facts(OTHER), RosterSnapshot.EMPTY, true, MonotonicClock.millis()));
     channel.outboundMessages().clear();
-    passes(2 * PeerMesh.BEAT_MILLIS);
+    advance(2 * PeerMesh.HEARTBEAT_MILLIS);
 
     EntryBeat first = beat(channel.readOutbound());
     EntryBeat second = beat(channel.readOutbound());
