--- a/gateway/src/main/java/dev/ibishub/gateway/experts/RankEngine.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/RankEngine.java
@@ -2,29 +2,31 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** The engine of one rank. Implementations are thread-safe and repeat nothing by themselves. */
+/**
+ * A client of one rank's engine. Implementations are thread-safe and do not retry.
+ *
+ * <p>Used on the platform of ibishub's users; the counterpart behind ibishub's own interface is
+ * {@code dev.ibishub.engines.ModelEngine}.
+ */
 public interface RankEngine {
-  /** Reads what the engine says of itself. */
+  /** Reads the engine's state. */
   CompletableFuture<RankState> state();
 
-  /**
-   * Reads how often the engine's requests chose each expert since it started.
-   *
-   * @return by set and expert in one row
-   */
+  /** Reads how often each expert was chosen for the engine's requests since the engine started. */
   CompletableFuture<Picks> picks();
 
-  /** Reads the map in use, as far as this rank holds it. */
+  /** Reads the part of the map in use that this rank holds. */
   CompletableFuture<HeldMap> map();
 
-  /** Gives an order; never fails, see {@link RankOrder.Result#UNKNOWN}. */
+  /** Sends an order. Never completes exceptionally, see {@link RankOrder.Result#UNKNOWN}. */
   CompletableFuture<RankOrder.Result> order(RankOrder order);
 
   /**
-   * How often experts were chosen.
+   * How often each expert was chosen.
    *
    * @param epoch the group's epoch
-   * @param counts by set and expert in one row; only grow within a life of the engine
+   * @param counts the counts of all experts in one row, one set of layers after the other; they
+   *     only grow until the engine restarts
    */
   @SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
   record Picks(long epoch, long[] counts) {}
@@ -34,7 +36,7 @@
    *
    * @param epoch the group's epoch
    * @param version the version of the map
-   * @param experts the experts of this rank, by set
+   * @param experts the experts of this rank, by set of layers
    */
   @SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
   record HeldMap(long epoch, long version, int[][] experts) {}
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/RankOrder.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/RankOrder.java
@@ -5,13 +5,16 @@
 /**
  * An order to one rank's engine.
  *
- * @param targetId the target that is meant; another one at its address refuses
+ * <p>Used on the platform of ibishub's users; the counterpart behind ibishub's own interface is
+ * {@code dev.ibishub.engines.RankOrder}.
+ *
+ * @param targetId the target that the order is for; another target at the same address refuses it
  * @param kind what to do
- * @param version the map concerned, for all but holds
- * @param step the step concerned, for arms and holds
- * @param epoch the epoch of the group that the order was made for
- * @param fencingToken orders with a lower one than the engine has seen are refused
- * @param map experts by set and rank, for prepare
+ * @param version the version of the map concerned, for all kinds but hold and release
+ * @param step the step concerned, for arm, hold and release
+ * @param epoch the epoch of the group for which the order was made
+ * @param fencingToken the engine refuses an order whose token is lower than one it has seen
+ * @param map for prepare, the experts by set and rank; else empty
  */
 @SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
 public record RankOrder(
@@ -23,29 +26,29 @@
     long fencingToken,
     Optional<int[][][]> map) {
 
-  /** What a rank can be told. */
+  /** The kinds of order. */
   public enum Kind {
-    /** Fetch the experts that a map adds. */
+    /** Fetch the experts that a map adds to the rank. */
     PREPARE,
-    /** Switch to the prepared map as a step begins. */
+    /** Switch to the prepared map when a step begins. */
     ARM,
-    /** Do not switch after all. */
+    /** Cancel an armed switch. */
     DISARM,
-    /** Let the whole group wait before a step. */
+    /** Make the whole group wait before a step. */
     HOLD,
-    /** Let a step that was held begin. */
+    /** Let a held step begin. */
     RELEASE
   }
 
-  /** What came of an order. */
+  /** The outcome of an order. */
   public enum Result {
-    /** Carried out, or it already was so. */
+    /** Carried out, or already in effect. */
     DONE,
-    /** It does not fit the engine's state and never will. */
+    /** Refused: the order does not fit the engine's state and never will. */
     CONFLICT,
-    /** The engine has seen a higher fencing token. */
+    /** Refused: the engine has seen a higher fencing token. */
     FENCED,
-    /** No answer: it may have been carried out, or may be seconds later. */
+    /** Unanswered: the order may have been carried out, or may be seconds later. */
     UNKNOWN
   }
 }
