--- a/gateway/src/main/java/dev/ibishub/gateway/experts/LoadRelay.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/LoadRelay.java
@@ -12,38 +12,40 @@
 import java.util.function.Consumer;
 
 /**
- * Tells all entries what the agents said to the few that are linked to them. Thread-safe by one
- * lock.
+ * Broadcasts the load that agents report: the few entries linked to agents, the collectors, send it
+ * to all others. Thread-safe by one lock.
  *
  * <p>With links from each entry to each agent, 72 agents and 42 entries would exchange some 30,000
- * messages a second under load; through two entries that pass on what they heard, together, each
- * {@link #PERIOD_MILLIS}, they exchange some 1,500. Loads are then up to that much older.
+ * messages a second under load. With two collectors that send what they heard as one batch each
+ * {@link #PERIOD_MILLIS}, it is some 1,500, and loads are up to that much older.
  */
 public final class LoadRelay {
   /**
-   * Entries that hear the agents: the leading one, and the next in order, so that no report is
-   * missed while a lost leader is noticed.
+   * Number of entries linked to agents: the leader and the next in order, so that no report is
+   * missed before the loss of a leader is noticed.
    */
   public static final int COLLECTORS = 2;
 
-  /** Time between two messages to the other entries, milliseconds; half of the agents' period. */
+  /**
+   * Interval between two batches to the other entries, milliseconds; half of the agents' period.
+   */
   static final long PERIOD_MILLIS = 100;
 
   /**
-   * What another collector told of a target is as good as an own report that is newer by no more
-   * than this, milliseconds; agents report to both at the same moment.
+   * How much newer an own report may be than another collector's and still count as equivalent,
+   * milliseconds; agents report to both at the same moment.
    */
-  static final long AS_GOOD_MILLIS = 50;
+  static final long EQUIVALENT_MILLIS = 50;
 
   private final TargetDirectory targets;
   private final Consumer<Frame> broadcast;
-  private final Map<String, TargetReport> untold = new HashMap<>();
+  private final Map<String, TargetReport> unsent = new HashMap<>();
   private long nextAt;
 
   /**
    * Creates a relay.
    *
-   * @param targets takes all reports
+   * @param targets receives all reports
    * @param broadcast sends a message to all linked entries
    */
   public LoadRelay(TargetDirectory targets, Consumer<Frame> broadcast) {
@@ -51,56 +53,62 @@
     this.broadcast = broadcast;
   }
 
-  /** Takes in what this entry itself heard of the target at an IP number. */
+  /**
+   * Takes a report that this entry itself received from the agent of a target.
+   *
+   * @param host the IP number of the target
+   */
   public void onReport(String host, TargetReport report) {
     targets.onReport(host, report);
     synchronized (this) {
-      untold.put(host, report);
+      unsent.put(host, report);
     }
   }
 
   /**
-   * Takes in what another entry heard. As it told all entries, this one leaves that out: each hears
-   * of a report once, from the collector whose turn came first.
+   * Takes reports that another collector sent to all entries. Equivalent own reports are not sent
+   * any more, so each entry receives a report once, from the collector that was first.
    */
-  public void onTold(LoadReports told, long now) {
-    told.getReportsList().forEach(message -> onTold(message.getHost(), report(message, now)));
+  public void onTold(LoadReports reports, long now) {
+    reports
+        .getReportsList()
+        .forEach(message -> onPeerReport(message.getHost(), report(message, now)));
   }
 
-  private void onTold(String host, TargetReport told) {
-    targets.onReport(host, told);
+  private void onPeerReport(String host, TargetReport peerReport) {
+    targets.onReport(host, peerReport);
     synchronized (this) {
-      untold.computeIfPresent(host, (any, own) -> isAsGood(told, own) ? null : own);
+      unsent.computeIfPresent(host, (any, own) -> isEquivalent(peerReport, own) ? null : own);
     }
   }
 
-  private static boolean isAsGood(TargetReport told, TargetReport own) {
-    return told.measuredAt() >= own.measuredAt() - AS_GOOD_MILLIS
-        && told.isOpen() == own.isOpen()
-        && told.group().equals(own.group());
+  private static boolean isEquivalent(TargetReport peerReport, TargetReport own) {
+    return peerReport.measuredAt() >= own.measuredAt() - EQUIVALENT_MILLIS
+        && peerReport.isOpen() == own.isOpen()
+        && peerReport.group().equals(own.group());
   }
 
   /**
-   * Tells the others what is new. To be called often.
+   * Sends the reports since the last batch. To be called often.
    *
-   * @param collects whether this entry is one of those that do
+   * @param collects whether this entry is a collector; if not, the reports are dropped
    */
   public void tick(boolean collects, long now) {
-    List<LoadReport> news;
+    List<LoadReport> batch;
     synchronized (this) {
-      if (now < nextAt || untold.isEmpty()) {
+      if (now < nextAt || unsent.isEmpty()) {
         return;
       }
       nextAt = now + PERIOD_MILLIS;
-      news =
-          untold.entrySet().stream()
+      batch =
+          unsent.entrySet().stream()
               .map(each -> message(each.getKey(), each.getValue(), now))
               .toList();
-      untold.clear();
+      unsent.clear();
     }
     if (collects) {
       broadcast.accept(
-          Frame.newBuilder().setLoadReports(LoadReports.newBuilder().addAllReports(news)).build());
+          Frame.newBuilder().setLoadReports(LoadReports.newBuilder().addAllReports(batch)).build());
     }
   }
 
--- a/gateway/src/test/java/dev/ibishub/gateway/experts/LoadRelayTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/experts/LoadRelayTest.java
@@ -14,17 +14,17 @@
 final class LoadRelayTest {
   private static final String HOST = "10.0.0.1";
 
-  private final TargetDirectory collectorsTargets = new TargetDirectory("z");
-  private final TargetDirectory othersTargets = new TargetDirectory("z");
+  private final TargetDirectory collectorTargets = new TargetDirectory("z");
+  private final TargetDirectory otherTargets = new TargetDirectory("z");
   private final List<Frame> sent = new ArrayList<>();
-  private final LoadRelay collector = new LoadRelay(collectorsTargets, sent::add);
-  private final LoadRelay other = new LoadRelay(othersTargets, frame -> {});
+  private final LoadRelay collector = new LoadRelay(collectorTargets, sent::add);
+  private final LoadRelay other = new LoadRelay(otherTargets, frame -> {});
 
   @BeforeEach
   void announce() {
     Target target = new Target("t", "models", HOST, 80, "z", 8, false, 1);
-    collectorsTargets.onAnnounced(target, 1);
-    othersTargets.onAnnounced(target, 1);
+    collectorTargets.onAnnounced(target, 1);
+    otherTargets.onAnnounced(target, 1);
   }
 
   private static double requests(TargetDirectory targets, long now) {
@@ -32,30 +32,30 @@
   }
 
   @Test
-  void loadThatOneEntryHearsIsKnownToOthers() {
+  void otherEntriesLearnLoadFromCollector() {
     collector.onReport(HOST, new TargetReport(5, 2.5, true, 1_000));
     collector.tick(true, 1_040);
     sent.forEach(frame -> other.onTold(frame.getLoadReports(), 1_042));
 
-    assertThat(requests(collectorsTargets, 1_042)).isEqualTo(5);
-    assertThat(requests(othersTargets, 1_042)).isEqualTo(5);
-    assertThat(othersTargets.atHost(HOST).get(0).load().handicap(1_042)).isPositive();
+    assertThat(requests(collectorTargets, 1_042)).isEqualTo(5);
+    assertThat(requests(otherTargets, 1_042)).isEqualTo(5);
+    assertThat(otherTargets.atHost(HOST).get(0).load().handicap(1_042)).isPositive();
   }
 
-  // Requests go to a target that is full. Two entries pass on what they hear, and the older word
-  // arrives after the newer one.
+  // Guards against requests to a full target: of two collectors, the one with the older report may
+  // be heard last.
   @Test
-  void olderWordThatComesLaterChangesNothing() {
+  void ignoresOlderReportThatArrivesLater() {
     collector.onReport(HOST, new TargetReport(3, 1, true, 1_000));
     collector.tick(true, 1_058);
     other.onReport(HOST, new TargetReport(9, 1, true, 1_050));
     sent.forEach(frame -> other.onTold(frame.getLoadReports(), 1_060));
 
-    assertThat(requests(othersTargets, 1_060)).isEqualTo(9);
+    assertThat(requests(otherTargets, 1_060)).isEqualTo(9);
   }
 
   @Test
-  void reportsOfOnePeriodGoTogetherAndOnce() {
+  void sendsReportsOfOnePeriodTogetherAndOnce() {
     collector.onReport(HOST, new TargetReport(3, 1, true, 1_000));
     collector.tick(true, 1_000);
     collector.onReport(HOST, new TargetReport(4, 1, true, 1_050));
@@ -67,16 +67,16 @@
   }
 
   @Test
-  void targetThatTakesNoRequestsIsToldSo() {
+  void sendsThatTargetTakesNoRequests() {
     collector.onReport(HOST, new TargetReport(0, 1, false, 1_000));
     collector.tick(true, 1_000);
     sent.forEach(frame -> other.onTold(frame.getLoadReports(), 1_002));
 
-    assertThat(othersTargets.atHost(HOST).get(0).load().isClosed(1_002)).isTrue();
+    assertThat(otherTargets.atHost(HOST).get(0).load().isClosed(1_002)).isTrue();
   }
 
   @Test
-  void entryThatDoesNotCollectTellsNothing() {
+  void sendsNothingWhenNotCollector() {
     collector.onReport(HOST, new TargetReport(3, 1, true, 1_000));
     collector.tick(false, 1_000);
 
@@ -84,11 +84,11 @@
   }
 
   @Test
-  void reportThatTheOtherCollectorToldIsNotToldAgain() {
+  void omitsReportThatOtherCollectorSent() {
     collector.onReport(HOST, new TargetReport(3, 1, true, 1_000));
     collector.tick(true, 1_010);
     List<Frame> second = new ArrayList<>();
-    LoadRelay late = new LoadRelay(othersTargets, second::add);
+    LoadRelay late = new LoadRelay(otherTargets, second::add);
     late.onReport(HOST, new TargetReport(3, 1, true, 1_001));
     sent.forEach(frame -> late.onTold(frame.getLoadReports(), 1_012));
     late.tick(true, 1_020);
@@ -96,14 +96,14 @@
     assertThat(second).isEmpty();
   }
 
-  // Guards against entries that go on refusing requests because a collector kept to itself that the
-  // group has opened.
+  // Guards against entries that keep refusing requests because a collector withheld the report that
+  // the group has opened.
   @Test
-  void reportThatSaysOtherwiseThanWhatWasToldIsTold() {
+  void sendsReportThatDiffersFromOneOfOtherCollector() {
     collector.onReport(HOST, new TargetReport(0, 1, false, 1_000));
     collector.tick(true, 1_010);
     List<Frame> second = new ArrayList<>();
-    LoadRelay late = new LoadRelay(othersTargets, second::add);
+    LoadRelay late = new LoadRelay(otherTargets, second::add);
     late.onReport(HOST, new TargetReport(0, 1, true, 1_005));
     sent.forEach(frame -> late.onTold(frame.getLoadReports(), 1_012));
     late.tick(true, 1_020);
