--- a/gateway/src/main/java/dev/ibishub/gateway/experts/RankAgent.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/RankAgent.java
@@ -15,96 +15,102 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * Stands beside one target: tells entries how it is, and passes the leading entry's orders on. It
- * decides nothing and remembers nothing that matters, so it may end at any time. Thread-safe.
+ * The agent beside one target: reports the state of the target's engine to entries, and passes the
+ * leader's orders on to it. It makes no decisions and keeps no state that must survive, so it may
+ * stop at any time. Thread-safe.
+ *
+ * <p>Used on the platform of ibishub's users; the counterpart behind ibishub's own interface is
+ * {@code dev.ibishub.agent.Agent}.
  */
 public final class RankAgent implements LinkListener {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** How long a leader's word that it watches holds, milliseconds. */
-  static final long WATCH_MILLIS = 3_000;
+  /** How long a leader's watch on this agent lasts without a renewal, milliseconds. */
+  static final long WATCH_LEASE_MILLIS = 3_000;
 
   /**
-   * Time between two reports of the load, milliseconds. A target of today's deployments gets some
-   * three requests a second, so less than one comes in that time that the reader has not sent
-   * itself. Agents are most of the fleet's processor time, and most of theirs goes into this.
+   * Interval between two load reports, milliseconds. A target gets some three requests a second, so
+   * in an interval it gets less than one that the reader has not sent itself. Reports take most of
+   * the processor time of agents, and agents most of that of the fleet.
    */
-  private static final long PLAIN_REPORT_MILLIS = 200;
+  private static final long REPORT_MILLIS = 200;
 
   /**
-   * How long the effect of an order is looked for at most, milliseconds. Copying for a map takes
-   * some 500; an order that was not carried out by then may never be.
+   * How long to wait for the effect of an order to show, milliseconds. Copying for a map takes some
+   * 500; an order that was not carried out by then may never be.
    */
-  private static final long AWAITED_MILLIS = 600;
+  private static final long EFFECT_TIMEOUT_MILLIS = 600;
 
   /**
-   * Time between two looks at the engine while the effect of an order is awaited, milliseconds; a
-   * leader waits for each word then, and passes take 45 and more.
+   * Interval between two polls of the engine while the effect of an order is awaited, milliseconds.
+   * The leader waits for each of these reports, and passes take 45 or more.
    */
-  private static final long AWAITING_LOOK_MILLIS = 45;
+  private static final long EFFECT_POLL_MILLIS = 45;
 
-  /** Time between two readings of what the engine's requests chose, milliseconds. */
-  private static final long PICKS_MILLIS = PLAIN_REPORT_MILLIS;
+  /** Interval between two readings of the expert counts, milliseconds. */
+  private static final long PICKS_MILLIS = REPORT_MILLIS;
 
-  /** What falls due within this is done now, as timers are a little late. */
-  private static final long EARLY_MILLIS = 15;
+  /** Work that is due within this time is done now, as timers fire slightly late. Milliseconds. */
+  private static final long TIMER_SLACK_MILLIS = 15;
 
   private final RankEngine engine;
-  private final Runnable onNews;
+  private final Runnable requestLook;
   private final Set<Link> links = ConcurrentHashMap.newKeySet();
   private final List<Watcher> watchers = new CopyOnWriteArrayList<>();
   private final AtomicBoolean isReadingState = new AtomicBoolean();
   private final AtomicBoolean isReadingPicks = new AtomicBoolean();
   private volatile RankState lastState;
   private volatile long lastPicksAt;
-  private volatile Optional<AwaitedEffect> awaited = Optional.empty();
-  private volatile long lastPlainReportAt;
+  private volatile Optional<PendingEffect> pendingEffect = Optional.empty();
+  private volatile long lastReportAt;
   private volatile long reportedMapVersion = -1;
   private volatile long reportedMapEpoch = -1;
   private volatile boolean isReachable = true;
 
-  private record Watcher(Link link, long until, boolean wantsPicks) {}
+  /** An entry that wants every report and map, and the expert counts if it says so. */
+  private record Watcher(Link link, long expiresAt, boolean wantsPicks) {}
 
-  /** What an order brings about, as the engine's state will show it. */
-  private record AwaitedEffect(RankOrder order, long until) {
-    boolean isSeenIn(RankState state) {
-      return state.membership().map(this::isSeenIn).orElse(true);
+  /** The effect of an order that the engine's state does not show yet. */
+  private record PendingEffect(RankOrder order, long expiresAt) {
+    boolean isVisibleIn(RankState state) {
+      return state.membership().map(this::isVisibleIn).orElse(true);
     }
 
-    private boolean isSeenIn(RankState.Membership place) {
+    private boolean isVisibleIn(RankState.Membership membership) {
       return switch (order.kind()) {
-        case PREPARE -> place.preparedVersion() == order.version();
-        case ARM -> place.mapVersion() == order.version();
+        case PREPARE -> membership.preparedVersion() == order.version();
+        case ARM -> membership.mapVersion() == order.version();
         case DISARM, HOLD, RELEASE -> true;
       };
     }
   }
 
   /**
-   * Creates an agent that nobody is linked to.
+   * Creates an agent without links.
    *
-   * @param onNews called when {@link #look} is due at once
+   * @param engine the engine of the target
+   * @param requestLook called when {@link #look} is due at once
    */
-  public RankAgent(RankEngine engine, Runnable onNews) {
+  public RankAgent(RankEngine engine, Runnable requestLook) {
     this.engine = engine;
-    this.onNews = onNews;
+    this.requestLook = requestLook;
   }
 
-  /** Reads what is due of the engine and tells it to the entries. */
+  /** Reads from the engine what is due, and reports it to the entries. */
   public void look() {
     long now = MonotonicClock.millis();
     readState();
-    if (now - lastPicksAt >= PICKS_MILLIS - EARLY_MILLIS) {
+    if (now - lastPicksAt >= PICKS_MILLIS - TIMER_SLACK_MILLIS) {
       lastPicksAt = now;
       readPicks(now);
     }
   }
 
-  /** Returns when {@link #look} is to be called again, milliseconds from now. */
+  /** Returns the delay until the next call of {@link #look}, milliseconds. */
   public long untilNextLookMillis() {
     long now = MonotonicClock.millis();
-    boolean isAwaiting = awaited.map(effect -> now <= effect.until()).orElse(false);
-    return isAwaiting ? AWAITING_LOOK_MILLIS : PLAIN_REPORT_MILLIS;
+    boolean isAwaiting = pendingEffect.map(effect -> now <= effect.expiresAt()).orElse(false);
+    return isAwaiting ? EFFECT_POLL_MILLIS : REPORT_MILLIS;
   }
 
   private void readState() {
@@ -114,9 +120,9 @@
     engine.state().whenComplete(this::onState);
   }
 
-  /** Reads what the engine's requests chose, where a leader wants to know. */
+  /** Reads the expert counts if a leader wants them. */
   private void readPicks(long now) {
-    watchers.removeIf(watcher -> watcher.until() < now || !watcher.link().isOpen());
+    watchers.removeIf(watcher -> watcher.expiresAt() < now || !watcher.link().isOpen());
     if (watchers.stream().noneMatch(Watcher::wantsPicks)
         || !isReadingPicks.compareAndSet(false, true)) {
       return;
@@ -142,8 +148,8 @@
     if (known != null) {
       link.offer(RankMessages.report(known));
     }
-    // Entries that have just started place requests blindly until the first report comes.
-    onNews.run();
+    // An entry that has just started knows no loads until the first report arrives.
+    requestLook.run();
   }
 
   @Override
@@ -165,11 +171,11 @@
   private void onWatch(Link link, boolean wantsPicks) {
     boolean isNew = watchers.stream().noneMatch(watcher -> watcher.link().equals(link));
     watchers.removeIf(watcher -> watcher.link().equals(link));
-    watchers.add(new Watcher(link, MonotonicClock.millis() + WATCH_MILLIS, wantsPicks));
+    watchers.add(new Watcher(link, MonotonicClock.millis() + WATCH_LEASE_MILLIS, wantsPicks));
     if (isNew) {
-      // A leader that has just taken over can do nothing before it knows state and map.
+      // A leader that has just taken over needs the state and the map before it can act.
       reportedMapVersion = -1;
-      onNews.run();
+      requestLook.run();
     }
   }
 
@@ -181,10 +187,11 @@
             result -> {
               link.offer(RankMessages.reply(call.getCallId(), result));
               if (result == RankOrder.Result.DONE || result == RankOrder.Result.UNKNOWN) {
-                awaited =
-                    Optional.of(new AwaitedEffect(order, MonotonicClock.millis() + AWAITED_MILLIS));
+                pendingEffect =
+                    Optional.of(
+                        new PendingEffect(order, MonotonicClock.millis() + EFFECT_TIMEOUT_MILLIS));
               }
-              onNews.run();
+              requestLook.run();
             });
   }
 
@@ -201,20 +208,20 @@
       isReachable = true;
       logger.atInfo().log("%s", LogEvent.of("engine.back"));
     }
-    if (awaited.map(effect -> effect.isSeenIn(state)).orElse(false)) {
-      awaited = Optional.empty();
+    if (pendingEffect.map(effect -> effect.isVisibleIn(state)).orElse(false)) {
+      pendingEffect = Optional.empty();
     }
-    tell(state, MonotonicClock.millis());
+    sendReports(state, MonotonicClock.millis());
     readMapIfNew();
   }
 
-  private void tell(RankState state, long now) {
+  private void sendReports(RankState state, long now) {
     Frame frame = RankMessages.report(state);
-    boolean isPlainDue = now - lastPlainReportAt >= PLAIN_REPORT_MILLIS - EARLY_MILLIS;
+    boolean isReportDue = now - lastReportAt >= REPORT_MILLIS - TIMER_SLACK_MILLIS;
     watchers.forEach(watcher -> watcher.link().offer(frame));
     lastState = state;
-    if (isPlainDue) {
-      lastPlainReportAt = now;
+    if (isReportDue) {
+      lastReportAt = now;
       links.stream().filter(link -> !isWatching(link)).forEach(link -> link.offer(frame));
     }
   }
@@ -228,8 +235,8 @@
     if (watchers.isEmpty() || state == null || state.membership().isEmpty()) {
       return;
     }
-    RankState.Membership place = state.membership().get();
-    if (place.mapVersion() == reportedMapVersion && place.epoch() == reportedMapEpoch) {
+    RankState.Membership membership = state.membership().get();
+    if (membership.mapVersion() == reportedMapVersion && membership.epoch() == reportedMapEpoch) {
       return;
     }
     engine
@@ -241,7 +248,7 @@
                 return;
               }
               reportedMapVersion = map.version();
-              reportedMapEpoch = place.epoch();
+              reportedMapEpoch = membership.epoch();
               Frame frame = RankMessages.map(map);
               watchers.forEach(watcher -> watcher.link().offer(frame));
             });
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/RankLinks.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/RankLinks.java
@@ -20,55 +20,62 @@
 import java.util.function.Predicate;
 
 /**
- * Links of an entry that hears the agents beside the targets. Thread-safe by one lock.
+ * The links of an entry to the agents beside targets. Thread-safe by one lock.
  *
- * <p>An agent listens at its target's IP number, so nothing has to be told to find it.
+ * <p>An agent listens at the IP number of its target, so no discovery is needed.
+ *
+ * <p>Used on the platform of ibishub's users; the counterpart behind ibishub's own interface is
+ * {@code dev.ibishub.entry.TargetLinks}.
  */
 public final class RankLinks implements LinkListener {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Time between two tries to reach an agent, milliseconds. */
-  private static final long DIAL_MILLIS = 500;
+  /** Delay between two attempts to connect to an agent, milliseconds. */
+  private static final long CONNECT_RETRY_MILLIS = 500;
 
-  /** Time between two words of the leader that it watches, milliseconds. */
-  private static final long WATCH_MILLIS = RankAgent.WATCH_MILLIS / 3;
+  /** Interval between two renewals of the watch on an agent, milliseconds. */
+  private static final long WATCH_RENEWAL_MILLIS = RankAgent.WATCH_LEASE_MILLIS / 3;
 
-  /** How long an agent's answer to an order is waited for, milliseconds. */
-  private static final long REPLY_MILLIS = 160;
+  /** Timeout for an agent's reply to an order, milliseconds. */
+  private static final long REPLY_TIMEOUT_MILLIS = 160;
 
   private final WireTransport transport;
   private final int linkPort;
   private final LoadRelay loads;
   private final RankListener listener;
   private final Map<String, Agent> agents = new HashMap<>();
-  private final Map<Link, String> hosts = new ConcurrentHashMap<>();
-  private final Map<Long, CompletableFuture<RankOrder.Result>> waiting = new ConcurrentHashMap<>();
-  private final AtomicLong lastCall = new AtomicLong();
+  private final Map<Link, String> hostByLink = new ConcurrentHashMap<>();
+  private final Map<Long, CompletableFuture<RankOrder.Result>> pendingReplies =
+      new ConcurrentHashMap<>();
+  private final AtomicLong lastCallId = new AtomicLong();
   private long nextWatchAt;
   private boolean wasWatching;
 
-  /** Told what agents say; {@code host} is the IP number that agent and target share. */
+  /** Receives what agents report; {@code host} is the IP number that agent and target share. */
   public interface RankListener {
+    /** Receives the state of a rank. */
     void onState(String host, RankState state, long now);
 
+    /** Receives the expert counts of a rank. */
     void onPicks(String host, RankEngine.Picks picks, long now);
 
+    /** Receives the experts that a rank holds. */
     void onMap(String host, RankEngine.HeldMap map);
   }
 
   private static final class Agent {
     private Link link;
-    private boolean isDialing;
-    private boolean isAskedForPicks;
-    private long nextDialAt;
+    private boolean isConnecting;
+    private boolean hasRequestedPicks;
+    private long nextConnectAt;
   }
 
   /**
-   * Creates links to no agent yet.
+   * Creates an instance without links.
    *
    * @param linkPort the port at which agents listen
-   * @param loads told of the load of targets
-   * @param listener told of all that agents say
+   * @param loads receives the load of targets
+   * @param listener receives all that agents report
    */
   public RankLinks(WireTransport transport, int linkPort, LoadRelay loads, RankListener listener) {
     this.transport = transport;
@@ -78,48 +85,49 @@
   }
 
   /**
-   * Opens missing links. To be called often.
+   * Opens missing links and closes those that are no longer wanted. To be called often.
    *
-   * @param wanted IP numbers of targets beside which there may be an agent
-   * @param watches whether this entry wants picks and maps besides the load
-   * @param picks tells for a host whether its picks are wanted
+   * @param wanted IP numbers of targets that may have an agent
+   * @param watches whether this entry wants expert counts and maps besides the load
+   * @param picks whether the expert counts from a host are wanted
    */
   public synchronized void tick(
       Set<String> wanted, boolean watches, Predicate<String> picks, long now) {
     agents.entrySet().removeIf(agent -> closeIfUnwanted(agent.getKey(), agent.getValue(), wanted));
-    wanted.forEach(host -> dialIfMissing(host, now));
+    wanted.forEach(host -> connectIfMissing(host, now));
     if (watches) {
       boolean isDue = now >= nextWatchAt || !wasWatching;
-      nextWatchAt = isDue ? now + WATCH_MILLIS : nextWatchAt;
-      agents.forEach((host, agent) -> watch(agent, picks.test(host), isDue));
+      nextWatchAt = isDue ? now + WATCH_RENEWAL_MILLIS : nextWatchAt;
+      agents.forEach((host, agent) -> renewWatch(agent, picks.test(host), isDue));
     }
     wasWatching = watches;
   }
 
   /**
-   * Gives an order through the agent at a host.
+   * Sends an order through the agent at a host.
    *
-   * @return what came of it; empty when there is no link, so that nothing was sent
+   * @return the outcome, {@code UNKNOWN} after a timeout; empty if there is no link, so that
+   *     nothing was sent
    */
   public Optional<CompletableFuture<RankOrder.Result>> order(String host, RankOrder order) {
     Optional<Link> link = linkTo(host);
     if (link.isEmpty()) {
       return Optional.empty();
     }
-    long id = lastCall.incrementAndGet();
+    long id = lastCallId.incrementAndGet();
     CompletableFuture<RankOrder.Result> reply = new CompletableFuture<>();
-    waiting.put(id, reply);
+    pendingReplies.put(id, reply);
     if (!link.get().offer(RankMessages.order(id, order))) {
-      waiting.remove(id);
+      pendingReplies.remove(id);
       return Optional.empty();
     }
     reply
-        .completeOnTimeout(RankOrder.Result.UNKNOWN, REPLY_MILLIS, TimeUnit.MILLISECONDS)
-        .whenComplete((result, failure) -> waiting.remove(id));
+        .completeOnTimeout(RankOrder.Result.UNKNOWN, REPLY_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)
+        .whenComplete((result, failure) -> pendingReplies.remove(id));
     return Optional.of(reply);
   }
 
-  /** Whether there is a link to the agent at a host. */
+  /** Whether there is an open link to the agent at a host. */
   public boolean isLinked(String host) {
     return linkTo(host).isPresent();
   }
@@ -131,7 +139,7 @@
 
   @Override
   public void onFrame(Link link, Frame frame) {
-    String host = hosts.get(link);
+    String host = hostByLink.get(link);
     if (host == null) {
       return;
     }
@@ -149,7 +157,7 @@
 
   @Override
   public void onClose(Link link) {
-    String host = hosts.remove(link);
+    String host = hostByLink.remove(link);
     logger.atInfo().log(
         "%s",
         LogEvent.of("agent.lost")
@@ -163,9 +171,9 @@
   }
 
   private void onReply(RankOrderReply reply) {
-    CompletableFuture<RankOrder.Result> waits = waiting.get(reply.getCallId());
-    if (waits != null) {
-      waits.complete(RankMessages.result(reply));
+    CompletableFuture<RankOrder.Result> pending = pendingReplies.get(reply.getCallId());
+    if (pending != null) {
+      pending.complete(RankMessages.result(reply));
     }
   }
 
@@ -173,11 +181,11 @@
     return Optional.ofNullable(agents.get(host)).map(agent -> agent.link).filter(Link::isOpen);
   }
 
-  /** Tells an agent that this entry watches it, when that is due or the wish for picks changed. */
-  private static void watch(Agent agent, boolean wantsPicks, boolean isDue) {
-    boolean isNews = isDue || agent.isAskedForPicks != wantsPicks;
-    if (isNews && agent.link != null && agent.link.isOpen()) {
-      agent.isAskedForPicks = wantsPicks;
+  /** Sends a watch to an agent if its renewal is due or the need for expert counts has changed. */
+  private static void renewWatch(Agent agent, boolean wantsPicks, boolean isDue) {
+    boolean isNeeded = isDue || agent.hasRequestedPicks != wantsPicks;
+    if (isNeeded && agent.link != null && agent.link.isOpen()) {
+      agent.hasRequestedPicks = wantsPicks;
       agent.link.offer(
           Frame.newBuilder()
               .setRankWatch(RankWatch.newBuilder().setWithoutPicks(!wantsPicks))
@@ -192,30 +200,30 @@
     if (agent.link != null) {
       agent.link.close();
     }
-    return !agent.isDialing;
+    return !agent.isConnecting;
   }
 
-  private void dialIfMissing(String host, long now) {
+  private void connectIfMissing(String host, long now) {
     Agent agent = agents.computeIfAbsent(host, any -> new Agent());
     boolean isLinked = agent.link != null && agent.link.isOpen();
-    if (isLinked || agent.isDialing || now < agent.nextDialAt) {
+    if (isLinked || agent.isConnecting || now < agent.nextConnectAt) {
       return;
     }
-    agent.isDialing = true;
+    agent.isConnecting = true;
     transport
         .connect(host, linkPort, this)
-        .whenComplete((link, failure) -> onDialed(host, agent, link));
+        .whenComplete((link, failure) -> onConnected(host, agent, link));
   }
 
-  private synchronized void onDialed(String host, Agent agent, Link link) {
-    agent.isDialing = false;
-    agent.nextDialAt = MonotonicClock.millis() + DIAL_MILLIS;
+  private synchronized void onConnected(String host, Agent agent, Link link) {
+    agent.isConnecting = false;
+    agent.nextConnectAt = MonotonicClock.millis() + CONNECT_RETRY_MILLIS;
     agent.link = link;
     if (link != null) {
-      hosts.put(link, host);
+      hostByLink.put(link, host);
       if (wasWatching) {
-        // Waiting for the next word to all cost the first map after a loss of power 0.4 s.
-        watch(agent, true, true);
+        // Waiting for the next renewal would delay the first map after a power loss by 0.4 s.
+        renewWatch(agent, true, true);
       }
     }
   }
--- a/gateway/src/test/java/dev/ibishub/gateway/experts/RankAgentTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/experts/RankAgentTest.java
@@ -19,7 +19,7 @@
   private final Link leader =
       Link.over(new EmbeddedChannel(), new Link.Peer("entry-1", "entry", "z", 1));
 
-  /** An engine that shows what the test says. */
+  /** An engine whose state and results the test sets. */
   private static final class FakeEngine implements RankEngine {
     private RankOrder.Result result = RankOrder.Result.DONE;
     private RankState state = state(0, 0);
@@ -70,16 +70,16 @@
     agent.onOpen(leader);
   }
 
-  private void give(RankOrder.Kind kind) {
+  private void sendOrder(RankOrder.Kind kind) {
     RankOrder order = new RankOrder("i-1", kind, VERSION, STEP, 1, 1, Optional.empty());
     agent.onFrame(leader, RankMessages.order(1, order));
     agent.look();
   }
 
   @Test
-  void looksOftenUntilACopyIsDone() {
+  void looksOftenUntilExpertsAreCopied() {
     long usual = agent.untilNextLookMillis();
-    give(RankOrder.Kind.PREPARE);
+    sendOrder(RankOrder.Kind.PREPARE);
     assertThat(agent.untilNextLookMillis()).isLessThan(usual);
 
     engine.state = FakeEngine.state(0, VERSION);
@@ -88,10 +88,10 @@
   }
 
   @Test
-  void looksOftenUntilTheSwitchShows() {
+  void looksOftenUntilArmedMapIsInUse() {
     long usual = agent.untilNextLookMillis();
     engine.state = FakeEngine.state(0, VERSION);
-    give(RankOrder.Kind.ARM);
+    sendOrder(RankOrder.Kind.ARM);
     assertThat(agent.untilNextLookMillis()).isLessThan(usual);
 
     engine.state = FakeEngine.state(VERSION, 0);
@@ -100,10 +100,10 @@
   }
 
   @Test
-  void looksNoMoreOftenAfterARefusedOrder() {
+  void keepsUsualIntervalAfterRefusedOrder() {
     long usual = agent.untilNextLookMillis();
     engine.result = RankOrder.Result.CONFLICT;
-    give(RankOrder.Kind.ARM);
+    sendOrder(RankOrder.Kind.ARM);
 
     assertThat(agent.untilNextLookMillis()).isEqualTo(usual);
   }
