--- a/gateway/src/main/java/dev/ibishub/gateway/experts/ExpertController.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/ExpertController.java
@@ -113,7 +113,7 @@
               .with("epoch", place.epoch())
               .with("map", place.mapVersion()));
     }
-    known.onPlace(target.get(), state.pace(), place, now);
+    known.onPlace(target.get(), state.slowdown(), place, now);
   }
 
   @Override
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/RankMessages.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/RankMessages.java
@@ -16,7 +16,7 @@
 import java.util.OptionalLong;
 import java.util.stream.IntStream;
 
-/** What entries and agents say to each other of ranks, as messages. */
+/** Converts what entries and agents report and order about ranks to and from wire messages. */
 final class RankMessages {
   private RankMessages() {}
 
@@ -25,7 +25,7 @@
         RankReport.newBuilder()
             .setRequests(state.requests())
             .setWaiting(state.waiting())
-            .setPace(state.pace());
+            .setPace(state.slowdown());
     state.membership().ifPresent(membership -> report.setPlace(place(membership)));
     return Frame.newBuilder().setRankReport(report).build();
   }
@@ -85,7 +85,7 @@
   static Frame map(RankEngine.HeldMap map) {
     RankMapReport.Builder message =
         RankMapReport.newBuilder().setEpoch(map.epoch()).setVersion(map.version());
-    Arrays.stream(map.experts()).map(RankMessages::list).forEach(message::addSets);
+    Arrays.stream(map.experts()).map(RankMessages::expertList).forEach(message::addSets);
     return Frame.newBuilder().setRankMapReport(message).build();
   }
 
@@ -93,7 +93,7 @@
     return new RankEngine.HeldMap(
         message.getEpoch(),
         message.getVersion(),
-        message.getSetsList().stream().map(RankMessages::array).toArray(int[][]::new));
+        message.getSetsList().stream().map(RankMessages::expertArray).toArray(int[][]::new));
   }
 
   static Frame order(long callId, RankOrder order) {
@@ -113,7 +113,7 @@
               call.setRanks(map[0].length);
               Arrays.stream(map)
                   .flatMap(Arrays::stream)
-                  .map(RankMessages::list)
+                  .map(RankMessages::expertList)
                   .forEach(call::addMap);
             });
     return Frame.newBuilder().setRankOrderCall(call).build();
@@ -128,17 +128,17 @@
         call.getStep(),
         call.getEpoch(),
         call.getFencingToken(),
-        call.getRanks() == 0 ? Optional.empty() : Optional.of(wholeMap(call)));
+        call.getRanks() == 0 ? Optional.empty() : Optional.of(fullMap(call)));
   }
 
-  private static int[][][] wholeMap(RankOrderCall call) {
+  private static int[][][] fullMap(RankOrderCall call) {
     List<ExpertList> rows = call.getMapList();
     int ranks = call.getRanks();
     return IntStream.range(0, rows.size() / ranks)
         .mapToObj(
             set ->
                 rows.subList(set * ranks, (set + 1) * ranks).stream()
-                    .map(RankMessages::array)
+                    .map(RankMessages::expertArray)
                     .toArray(int[][]::new))
         .toArray(int[][][]::new);
   }
@@ -161,13 +161,13 @@
     };
   }
 
-  private static ExpertList list(int[] experts) {
-    ExpertList.Builder list = ExpertList.newBuilder();
-    Arrays.stream(experts).forEach(list::addExperts);
-    return list.build();
+  private static ExpertList expertList(int[] experts) {
+    ExpertList.Builder expertList = ExpertList.newBuilder();
+    Arrays.stream(experts).forEach(expertList::addExperts);
+    return expertList.build();
   }
 
-  private static int[] array(ExpertList list) {
-    return IntStream.range(0, list.getExpertsCount()).map(list::getExperts).toArray();
+  private static int[] expertArray(ExpertList expertList) {
+    return IntStream.range(0, expertList.getExpertsCount()).map(expertList::getExperts).toArray();
   }
 }
