--- a/gateway/src/main/java/dev/ibishub/gateway/experts/ExpertController.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/ExpertController.java
@@ -33,7 +33,7 @@
   private final Map<String, GroupLead> groups = new HashMap<>();
   private final Map<String, RankEngine.HeldMap> held = new HashMap<>();
   private final RankOrders orders;
-  private final FencingTokens tokens;
+  private final ClockFencingTokens tokens;
   private final InstantSource clock;
   private final Map<String, Long> pauses = new HashMap<>();
   private long pausesVersion = NO_VERSION;
@@ -54,7 +54,7 @@
     this.configuration = configuration;
     this.orders = orders;
     this.clock = clock;
-    this.tokens = new FencingTokens(clock, ThreadLocalRandom.current().nextLong());
+    this.tokens = new ClockFencingTokens(clock, ThreadLocalRandom.current().nextLong());
   }
 
   /**
