--- a/gateway/src/main/java/dev/ibishub/gateway/experts/ExpertController.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/ExpertController.java
@@ -32,7 +32,7 @@
   private final Supplier<Optional<ServingConfiguration>> configuration;
   private final Map<String, GroupLead> groups = new HashMap<>();
   private final Map<String, RankEngine.HeldMap> held = new HashMap<>();
-  private final RankOrders orders;
+  private final RankOrderSender orders;
   private final ClockFencingTokens tokens;
   private final InstantSource clock;
   private final Map<String, Long> pauses = new HashMap<>();
@@ -48,7 +48,7 @@
   public ExpertController(
       TargetDirectory targets,
       Supplier<Optional<ServingConfiguration>> configuration,
-      RankOrders orders,
+      RankOrderSender orders,
       InstantSource clock) {
     this.targets = targets;
     this.configuration = configuration;
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/GroupLead.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/GroupLead.java
@@ -68,7 +68,7 @@
   private final int size;
   private final EngineProfile profile;
   private final LongSupplier longestPauseMillis;
-  private final RankOrders orders;
+  private final RankOrderSender orders;
   private final InstantSource clock;
   private final Object lock;
   private final MapSwitch mapSwitch;
@@ -90,7 +90,7 @@
       int size,
       EngineProfile profile,
       LongSupplier longestPauseMillis,
-      RankOrders orders,
+      RankOrderSender orders,
       TokenSource tokens,
       InstantSource clock,
       Map<String, RankEngine.HeldMap> heldByHost,
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/RankOrders.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/RankOrderSender.java
@@ -3,13 +3,13 @@
 import dev.ibishub.gateway.model.Target;
 import java.util.concurrent.CompletableFuture;
 
-/** Gives an order to the engine of a target, by whichever way there is. */
+/** Sends an order to the engine of a target by whatever route is available. */
 @FunctionalInterface
-public interface RankOrders {
+public interface RankOrderSender {
   /**
-   * Gives an order.
+   * Sends an order.
    *
-   * @return what came of it; never fails
+   * @return the outcome; never completes exceptionally
    */
   CompletableFuture<RankOrder.Result> give(Target target, RankOrder order);
 }
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/RankPaths.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/RankPaths.java
@@ -13,35 +13,38 @@
 import java.util.function.Function;
 
 /**
- * The ways to a rank: through its agent, or straight to its engine where the agent does not answer.
+ * The routes to a rank: through its agent, or directly to its engine if the agent does not answer.
  * Thread-safe.
  *
- * <p>Guards against a group that waits at a held step because one agent ended, or because the link
- * to it went silent: a link shows that only after two seconds. Straight orders are paid for, so
- * they are used only after one through the agent stayed unanswered.
+ * <p>Guards against a group that waits at a held step because an agent stopped, or because the link
+ * to it went silent, which is detected only after two seconds. Direct orders are charged for, so
+ * one is sent only if there is no link, or after an order through the agent stayed unanswered.
  */
-public final class RankPaths implements RankOrders {
+public final class RankPaths implements RankOrderSender {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /**
-   * Time between two looks at an engine whose agent is away, milliseconds; each look is paid for.
+   * Interval between two polls of an engine whose agent is not linked, milliseconds; each is
+   * charged for.
    */
-  static final long LOOK_MILLIS = 150;
+  static final long POLL_MILLIS = 150;
 
   private final RankLinks links;
   private final Function<Target, RankEngine> engines;
   private final TargetDirectory targets;
   private final LoadRelay loads;
   private final RankLinks.RankListener listener;
-  private final Set<String> unanswered = ConcurrentHashMap.newKeySet();
-  private final Map<String, Long> nextLookAt = new ConcurrentHashMap<>();
+  private final Set<String> unansweredHosts = ConcurrentHashMap.newKeySet();
+  private final Map<String, Long> nextPollAt = new ConcurrentHashMap<>();
 
   /**
-   * Creates the ways.
+   * Creates the routes.
    *
-   * @param engines reaches an engine from afar
-   * @param loads told of the load of targets whose agent is away
-   * @param listener told of what engines say whose agent is away
+   * @param links the links to agents
+   * @param engines returns a client that calls a target's engine directly
+   * @param targets looks up the target at a host
+   * @param loads receives the load of targets whose agent is not linked
+   * @param listener receives the state of engines whose agent is not linked
    */
   public RankPaths(
       RankLinks links,
@@ -58,27 +61,29 @@
 
   @Override
   public CompletableFuture<RankOrder.Result> give(Target target, RankOrder order) {
-    Optional<CompletableFuture<RankOrder.Result>> throughAgent =
-        unanswered.contains(target.host()) ? Optional.empty() : links.order(target.host(), order);
-    return throughAgent
+    Optional<CompletableFuture<RankOrder.Result>> viaAgent =
+        unansweredHosts.contains(target.host())
+            ? Optional.empty()
+            : links.order(target.host(), order);
+    return viaAgent
         .orElseGet(() -> engines.apply(target).order(order))
-        .thenApply(result -> remember(target.host(), throughAgent.isPresent(), result));
+        .thenApply(result -> recordResult(target.host(), viaAgent.isPresent(), result));
   }
 
   /**
-   * Looks at engines whose agent is away. To be called often by the entry that leads.
+   * Polls the engines whose agent is not linked. To be called often by the leader.
    *
    * @param hosts IP numbers of the engines
    */
   public void lookAround(Set<String> hosts, long now) {
     hosts.stream()
         .filter(host -> !links.isLinked(host))
-        .filter(host -> now >= nextLookAt.getOrDefault(host, 0L))
-        .forEach(host -> look(host, now));
+        .filter(host -> now >= nextPollAt.getOrDefault(host, 0L))
+        .forEach(host -> poll(host, now));
   }
 
-  private void look(String host, long now) {
-    nextLookAt.put(host, now + LOOK_MILLIS);
+  private void poll(String host, long now) {
+    nextPollAt.put(host, now + POLL_MILLIS);
     targets.atHost(host).stream()
         .findFirst()
         .ifPresent(
@@ -86,10 +91,10 @@
                 engines
                     .apply(known.target())
                     .state()
-                    .whenComplete((state, failure) -> onLook(host, state, failure)));
+                    .whenComplete((state, failure) -> onPolled(host, state, failure)));
   }
 
-  private void onLook(String host, RankState state, Throwable failure) {
+  private void onPolled(String host, RankState state, Throwable failure) {
     if (failure != null) {
       logger.atFine().withCause(failure).log(
           "%s", LogEvent.of("engine.unreachable").with("host", host));
@@ -100,11 +105,11 @@
     listener.onState(host, state, now);
   }
 
-  private RankOrder.Result remember(String host, boolean throughAgent, RankOrder.Result result) {
-    if (throughAgent && result == RankOrder.Result.UNKNOWN) {
-      unanswered.add(host);
-    } else if (!throughAgent) {
-      unanswered.remove(host);
+  private RankOrder.Result recordResult(String host, boolean viaAgent, RankOrder.Result result) {
+    if (viaAgent && result == RankOrder.Result.UNKNOWN) {
+      unansweredHosts.add(host);
+    } else if (!viaAgent) {
+      unansweredHosts.remove(host);
     }
     return result;
   }
