--- a/gateway/src/main/java/dev/ibishub/gateway/experts/ExpertController.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/ExpertController.java
@@ -17,50 +17,56 @@
 import java.util.function.Supplier;
 
 /**
- * Keeps the expert maps of all groups fitting to their demand, while this entry leads. Thread-safe
- * by one lock.
+ * Keeps the expert maps of all groups matched to the demand, while this entry leads. Thread-safe by
+ * one lock.
+ *
+ * <p>Used on the platform of ibishub's users; the counterpart behind ibishub's own interface is
+ * {@code dev.ibishub.entry.GroupLeads}.
  */
 public final class ExpertController implements RankLinks.RankListener {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Longest pause of streams where no route states one, milliseconds. */
-  private static final long UNSAID_PAUSE_MILLIS = 150;
+  /** Longest pause wanted between two pieces of a stream if no route states one, milliseconds. */
+  private static final long DEFAULT_PAUSE_MILLIS = 150;
 
   private static final long NO_VERSION = -1;
 
   private final TargetDirectory targets;
   private final Supplier<Optional<ServingConfiguration>> configuration;
-  private final Map<String, GroupLead> groups = new HashMap<>();
-  private final Map<String, RankEngine.HeldMap> held = new HashMap<>();
-  private final RankOrderSender orders;
+  private final Map<String, GroupRebalancer> groups = new HashMap<>();
+  private final Map<String, RankEngine.HeldMap> heldByHost = new HashMap<>();
+  private final RankOrderSender orderSender;
   private final ClockFencingTokens tokens;
   private final InstantSource clock;
-  private final Map<String, Long> pauses = new HashMap<>();
-  private long pausesVersion = NO_VERSION;
+  private final Map<String, Long> pauseByService = new HashMap<>();
+  private long pausesConfigurationVersion = NO_VERSION;
   private boolean isLeading;
 
   /**
-   * Creates a controller that leads nothing yet.
+   * Creates a controller that does not lead.
    *
-   * @param orders gives orders to engines
-   * @param clock the time of day, for fencing tokens and versions
+   * @param targets the targets of the ranks
+   * @param configuration returns the configuration in force, if there is one
+   * @param orderSender sends orders to engines
+   * @param clock the time of day, for fencing tokens and map versions
    */
   public ExpertController(
       TargetDirectory targets,
       Supplier<Optional<ServingConfiguration>> configuration,
-      RankOrderSender orders,
+      RankOrderSender orderSender,
       InstantSource clock) {
     this.targets = targets;
     this.configuration = configuration;
-    this.orders = orders;
+    this.orderSender = orderSender;
     this.clock = clock;
     this.tokens = new ClockFencingTokens(clock, ThreadLocalRandom.current().nextLong());
   }
 
   /**
-   * Does what is due. To be called often.
+   * Takes or gives up the lead, and advances the map switches of all groups while leading. To be
+   * called often.
    *
-   * @param leads whether this entry is to lead
+   * @param leads whether this entry is the leader
    */
   public synchronized void tick(boolean leads, long now) {
     if (leads != isLeading) {
@@ -73,7 +79,7 @@
     }
   }
 
-  /** Whether the counts of the rank at a host are needed. */
+  /** Whether expert counts from a host are needed. */
   public synchronized boolean wantsPicks(String host) {
     return groups.values().stream().allMatch(group -> group.wantsPicks(host));
   }
@@ -83,37 +89,37 @@
     if (!isLeading || state.membership().isEmpty()) {
       return;
     }
-    RankState.Membership place = state.membership().get();
+    RankState.Membership membership = state.membership().get();
     Optional<Target> target = engineAt(host);
     Optional<EngineProfile> profile = target.flatMap(this::profile);
     if (target.isEmpty() || profile.isEmpty() || !profile.get().hasExperts()) {
       return;
     }
-    GroupLead known = groups.get(place.group());
-    // A group that was found under an older configuration would be led by what that said of its
-    // engines: with fewer experts than there are, its counts fit no demand and no map is ever made.
-    if (known == null || !known.isFor(place.size(), profile.get())) {
-      known =
-          new GroupLead(
-              place.group(),
-              place.size(),
+    GroupRebalancer rebalancer = groups.get(membership.group());
+    // An instance created under an older configuration may have a profile with fewer experts than
+    // there are; the ranks' counts would not match it, and it would never plan a map.
+    if (rebalancer == null || !rebalancer.matches(membership.size(), profile.get())) {
+      rebalancer =
+          new GroupRebalancer(
+              membership.group(),
+              membership.size(),
               profile.get(),
               () -> longestPauseMillis(target.get().service()),
-              orders,
+              orderSender,
               tokens,
               clock,
-              held,
+              heldByHost,
               this);
-      groups.put(place.group(), known);
+      groups.put(membership.group(), rebalancer);
       logger.atInfo().log(
           "%s",
           LogEvent.of("group.found")
-              .with("group", place.group())
-              .with("ranks", place.size())
-              .with("epoch", place.epoch())
-              .with("map", place.mapVersion()));
+              .with("group", membership.group())
+              .with("ranks", membership.size())
+              .with("epoch", membership.epoch())
+              .with("map", membership.mapVersion()));
     }
-    known.onPlace(target.get(), state.slowdown(), place, now);
+    rebalancer.onMembership(target.get(), state.slowdown(), membership, now);
   }
 
   @Override
@@ -123,9 +129,9 @@
 
   @Override
   public synchronized void onMap(String host, RankEngine.HeldMap map) {
-    // Kept by host: an agent tells a map once, and may do so before its first report says which
+    // Stored by host, since an agent sends a map once, possibly before its first report says which
     // group it belongs to.
-    held.put(host, map);
+    heldByHost.put(host, map);
   }
 
   private Optional<Target> engineAt(String host) {
@@ -136,16 +142,16 @@
   }
 
   /**
-   * The shortest of the pauses that the routes to a service allow, worked out once a configuration:
-   * groups ask for it each time that they may make a map, and there may be thousands of routes.
+   * Returns the shortest of the pauses that the routes to a service allow. Computed once for each
+   * configuration: groups ask each time they may plan a map, and there may be thousands of routes.
    */
   private long longestPauseMillis(String service) {
     long version = configuration.get().map(ServingConfiguration::version).orElse(NO_VERSION);
-    if (version != pausesVersion) {
-      pausesVersion = version;
-      pauses.clear();
+    if (version != pausesConfigurationVersion) {
+      pausesConfigurationVersion = version;
+      pauseByService.clear();
     }
-    return pauses.computeIfAbsent(service, this::shortestOfRoutes);
+    return pauseByService.computeIfAbsent(service, this::shortestOfRoutes);
   }
 
   private long shortestOfRoutes(String service) {
@@ -159,7 +165,7 @@
                     .anyMatch(destination -> destination.service().equals(service)))
         .mapToLong(Route::longestPauseMillis)
         .min()
-        .orElse(UNSAID_PAUSE_MILLIS);
+        .orElse(DEFAULT_PAUSE_MILLIS);
   }
 
   private Optional<EngineProfile> profile(Target target) {
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/GroupLead.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/GroupRebalancer.java
@@ -26,71 +26,82 @@
 import java.util.stream.IntStream;
 
 /**
- * One group as its leading entry sees it. All methods are called under the lock that it is given,
- * and answers to orders take the same.
+ * Plans maps for one group of ranks and switches the group to them, while this entry leads. Not
+ * thread-safe: all methods are called under the lock that is passed to the constructor, and replies
+ * to orders take the same lock.
+ *
+ * <p>Used on the platform of ibishub's users; the counterpart behind ibishub's own interface is
+ * {@code dev.ibishub.entry.GroupController}.
  */
-final class GroupLead {
+final class GroupRebalancer {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /**
-   * How far back the demand is looked at, milliseconds: two or three readings of the agents, in
-   * which some fifteen prompts come in.
+   * Window over which demand is counted, milliseconds: two or three reports of the agents, in which
+   * about fifteen prompts arrive.
    */
-  static final long WINDOW_MILLIS = 300;
+  static final long DEMAND_WINDOW_MILLIS = 300;
 
-  /** By what part of their length passes take longer while a rank copies experts. */
+  /** Fraction by which passes take longer while a rank copies experts. */
   private static final double COPYING_SLOWDOWN = 0.15;
 
   /**
-   * How long a switch without its copying is expected to take before one was seen, milliseconds.
+   * Expected duration of a switch without its copying, before the first one is observed.
+   * Milliseconds.
    */
-  private static final long UNSEEN_SWITCH_MILLIS = 500;
+  private static final long DEFAULT_SWITCH_MILLIS = 500;
 
-  /** How long demand is expected to stand, milliseconds. */
-  private static final long DEMAND_MILLIS = 5_000;
+  /** How long demand is expected to stay the same, milliseconds. */
+  private static final long STABLE_DEMAND_MILLIS = 5_000;
 
-  /** Sets whose most loaded rank is within this of the mean are left alone. */
+  /** Sets whose most loaded rank has at most this many times the mean load are left unchanged. */
   static final double GOOD_SKEW = 1.1;
 
   /**
-   * Ranks of a group whose counts are read. The demand is the same at all of them; the counts of 72
-   * ranks with 12 sets of 144 experts would be a million numbers a second for the leading entry.
+   * Most ranks of a group whose expert counts are read. The demand is the same at all ranks, and
+   * the counts of 72 ranks with 12 sets of 144 experts would be a million numbers a second for the
+   * leading entry.
    */
-  static final int RANKS_COUNTED = 16;
+  static final int MAX_SAMPLED_RANKS = 16;
 
-  /** Part of these ranks whose counts have to be known, so that an agent may be away. */
-  static final double LEAST_RANKS_KNOWN = 0.6;
+  /**
+   * Fraction of the sampled ranks whose counts must be known; less than 1, so that an agent may be
+   * away.
+   */
+  static final double LEAST_SHARE_KNOWN = 0.6;
 
-  /** Bits of a version that tell leaders apart, so that two never give one number to two maps. */
+  /**
+   * Bits of a map version that tell leaders apart, so that two never give one version to two maps.
+   */
   private static final int SALT_BITS = 10;
 
   private final String group;
   private final int size;
   private final EngineProfile profile;
   private final LongSupplier longestPauseMillis;
-  private final RankOrderSender orders;
+  private final RankOrderSender orderSender;
   private final InstantSource clock;
   private final Object lock;
   private final MapSwitch mapSwitch;
   private final ExpertDemand demand;
-  private final Map<Integer, Target> byRank = new HashMap<>();
-  private final Map<Integer, Double> paces = new HashMap<>();
+  private final Map<Integer, Target> targetByRank = new HashMap<>();
+  private final Map<Integer, Double> slowdownByRank = new HashMap<>();
   private final Map<String, RankEngine.HeldMap> heldByHost;
   private final long salt = ThreadLocalRandom.current().nextLong(1L << SALT_BITS);
-  private Optional<GroupMap> planned = Optional.empty();
+  private Optional<GroupMap> plannedMap = Optional.empty();
   private long plannedVersion;
-  private MapSwitch.Phase lastPhase = MapSwitch.Phase.IDLE;
+  private MapSwitch.Phase loggedPhase = MapSwitch.Phase.IDLE;
   private long lastMapVersion = -1;
-  private long startedAt;
-  private long copyingMillis;
-  private long switchMillis = UNSEEN_SWITCH_MILLIS;
+  private long switchStartedAt;
+  private long expectedCopyMillis;
+  private long switchMillis = DEFAULT_SWITCH_MILLIS;
 
-  GroupLead(
+  GroupRebalancer(
       String group,
       int size,
       EngineProfile profile,
       LongSupplier longestPauseMillis,
-      RankOrderSender orders,
+      RankOrderSender orderSender,
       TokenSource tokens,
       InstantSource clock,
       Map<String, RankEngine.HeldMap> heldByHost,
@@ -99,33 +110,33 @@
     this.size = size;
     this.profile = profile;
     this.longestPauseMillis = longestPauseMillis;
-    this.orders = orders;
+    this.orderSender = orderSender;
     this.clock = clock;
     this.heldByHost = heldByHost;
     this.lock = lock;
     this.mapSwitch = new MapSwitch(size, tokens);
-    this.demand = new ExpertDemand(profile.layers(), profile.experts(), WINDOW_MILLIS);
+    this.demand = new ExpertDemand(profile.layers(), profile.experts(), DEMAND_WINDOW_MILLIS);
   }
 
-  /** Whether the group is led by these figures. */
-  boolean isFor(int ranks, EngineProfile engine) {
+  /** Whether this instance was created for a group of this size and engine profile. */
+  boolean matches(int ranks, EngineProfile engine) {
     return size == ranks && Objects.equals(profile, engine);
   }
 
-  void onPlace(Target target, double pace, RankState.Membership place, long now) {
-    byRank.put(place.rank(), target);
-    paces.put(place.rank(), pace);
+  void onMembership(Target target, double slowdown, RankState.Membership membership, long now) {
+    targetByRank.put(membership.rank(), target);
+    slowdownByRank.put(membership.rank(), slowdown);
     mapSwitch.onView(
-        place.rank(),
+        membership.rank(),
         new RankView(
-            place.epoch(),
-            place.isOpen(),
-            place.step(),
-            place.mapVersion(),
-            place.preparedVersion(),
-            place.armedVersion(),
-            place.armedStep(),
-            place.heldStep(),
+            membership.epoch(),
+            membership.isOpen(),
+            membership.step(),
+            membership.mapVersion(),
+            membership.preparedVersion(),
+            membership.armedVersion(),
+            membership.armedStep(),
+            membership.heldStep(),
             now));
   }
 
@@ -133,18 +144,19 @@
     rankAt(host).ifPresent(rank -> demand.onCounts(rank, picks.epoch(), picks.counts(), now));
   }
 
-  /** Whether a host's counts are needed, which is so as long as its rank is not known. */
+  /** Whether expert counts from a host are needed. They are until the host's rank is known. */
   boolean wantsPicks(String host) {
-    return rankAt(host).map(rank -> rank % stride() == 0).orElse(true);
+    return rankAt(host).map(rank -> rank % samplingStride() == 0).orElse(true);
   }
 
-  /** Distance between two ranks that are counted. */
-  private int stride() {
-    return (size + RANKS_COUNTED - 1) / RANKS_COUNTED;
+  /** Distance between two sampled ranks. */
+  private int samplingStride() {
+    return (size + MAX_SAMPLED_RANKS - 1) / MAX_SAMPLED_RANKS;
   }
 
   void tick(long now) {
-    if (mapSwitch.isReady(now) && demand.ranksKnown() >= LEAST_RANKS_KNOWN * size / stride()) {
+    if (mapSwitch.isReady(now)
+        && demand.ranksKnown() >= LEAST_SHARE_KNOWN * size / samplingStride()) {
       plan(demand.tokens(), now);
     }
     mapSwitch.tick(now).forEach(this::send);
@@ -167,10 +179,10 @@
     }
     long highest = Math.max(mapSwitch.highestVersion(), mapSwitch.version());
     long version = (Math.max(clock.millis(), (highest >> SALT_BITS) + 1) << SALT_BITS) | salt;
-    planned = Optional.of(plan.get().map());
+    plannedMap = Optional.of(plan.get().map());
     plannedVersion = version;
-    startedAt = now;
-    copyingMillis = (long) (plan.get().fetchesOfARank() * profile.fetchMillis());
+    switchStartedAt = now;
+    expectedCopyMillis = (long) (plan.get().fetchesOfARank() * profile.fetchMillis());
     mapSwitch.start(version, now);
     logger.atInfo().log(
         "%s",
@@ -178,8 +190,8 @@
             .with("group", group)
             .with("version", version)
             .with("fetches", plan.get().fetches())
-            .with("skew_before", number(plan.get().skewBefore()))
-            .with("skew_after", number(plan.get().skewAfter()))
+            .with("skew_before", formatDecimal(plan.get().skewBefore()))
+            .with("skew_after", formatDecimal(plan.get().skewAfter()))
             .with("gain_ms", (long) plan.get().gainMillis())
             .with("tokens", (long) demand.total())
             .with("plan_ms", MonotonicClock.millis() - now));
@@ -187,7 +199,7 @@
 
   private double[] slowness() {
     return IntStream.range(0, size)
-        .mapToDouble(rank -> Math.max(1, paces.getOrDefault(rank, 1.0)))
+        .mapToDouble(rank -> Math.max(1, slowdownByRank.getOrDefault(rank, 1.0)))
         .toArray();
   }
 
@@ -199,37 +211,44 @@
 
   private MapEconomy economy() {
     return new MapEconomy(
-        profile::passLength, profile.fetchMillis(), switchMillis, COPYING_SLOWDOWN, DEMAND_MILLIS);
+        profile::passLength,
+        profile.fetchMillis(),
+        switchMillis,
+        COPYING_SLOWDOWN,
+        STABLE_DEMAND_MILLIS);
   }
 
-  /** The map that all ranks use: the one last planned here, or what the ranks say they hold. */
+  /**
+   * Returns the map that all ranks use: the last one planned here, or the one that the ranks
+   * report. Empty if neither is known in full.
+   */
   private Optional<GroupMap> currentMap() {
     long version = mapSwitch.mapVersion().orElse(-1);
-    if (planned.isPresent() && version == plannedVersion) {
-      return planned;
+    if (plannedMap.isPresent() && version == plannedVersion) {
+      return plannedMap;
     }
     long epoch = mapSwitch.epoch();
-    List<RankEngine.HeldMap> held =
+    List<RankEngine.HeldMap> heldMaps =
         IntStream.range(0, size)
-            .mapToObj(byRank::get)
+            .mapToObj(targetByRank::get)
             .filter(Objects::nonNull)
             .map(target -> heldByHost.get(target.host()))
             .filter(Objects::nonNull)
             .filter(map -> map.version() == version && map.epoch() == epoch)
             .filter(map -> map.experts().length == profile.layers())
             .toList();
-    if (held.size() < size) {
+    if (heldMaps.size() < size) {
       return Optional.empty();
     }
     int[][][] experts =
         IntStream.range(0, profile.layers())
-            .mapToObj(set -> held.stream().map(map -> map.experts()[set]).toArray(int[][]::new))
+            .mapToObj(set -> heldMaps.stream().map(map -> map.experts()[set]).toArray(int[][]::new))
             .toArray(int[][][]::new);
     return Optional.of(GroupMap.of(experts)).filter(map -> map.holdsAll(profile.experts()));
   }
 
   private void send(RankCommand command) {
-    Target target = byRank.get(command.rank());
+    Target target = targetByRank.get(command.rank());
     if (target == null) {
       return;
     }
@@ -242,9 +261,9 @@
             command.epoch(),
             command.token(),
             command.kind() == RankCommand.Kind.PREPARE
-                ? planned.map(GroupMap::experts)
+                ? plannedMap.map(GroupMap::experts)
                 : Optional.empty());
-    orders.give(target, order).thenAccept(result -> onResult(command, result));
+    orderSender.give(target, order).thenAccept(result -> onResult(command, result));
   }
 
   private void onResult(RankCommand command, RankOrder.Result result) {
@@ -257,7 +276,7 @@
   }
 
   private Optional<Integer> rankAt(String host) {
-    return byRank.entrySet().stream()
+    return targetByRank.entrySet().stream()
         .filter(entry -> entry.getValue().host().equals(host))
         .map(Map.Entry::getKey)
         .findFirst();
@@ -265,7 +284,7 @@
 
   private void logPhase(long now) {
     MapSwitch.Phase phase = mapSwitch.phase();
-    if (phase == lastPhase) {
+    if (phase == loggedPhase) {
       return;
     }
     long map = mapSwitch.mapVersion().orElse(-1);
@@ -273,7 +292,7 @@
       lastMapVersion = map;
       demand.restart();
       if (map == plannedVersion) {
-        switchMillis = Math.max(0, now - startedAt - copyingMillis);
+        switchMillis = Math.max(0, now - switchStartedAt - expectedCopyMillis);
       }
     }
     logger.atInfo().log(
@@ -281,14 +300,14 @@
         LogEvent.of("map.phase")
             .with("group", group)
             .with("version", mapSwitch.version())
-            .with("from", lastPhase)
+            .with("from", loggedPhase)
             .with("to", phase)
             .with("map", map)
-            .with("after_ms", now - startedAt));
-    lastPhase = phase;
+            .with("after_ms", now - switchStartedAt));
+    loggedPhase = phase;
   }
 
-  private static String number(double value) {
+  private static String formatDecimal(double value) {
     return String.format(Locale.ROOT, "%.3f", value);
   }
 }
--- a/gateway/src/test/java/dev/ibishub/gateway/experts/ExpertControllerTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/experts/ExpertControllerTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 
 final class ExpertControllerTest {
-  /** So slow with each request that any uneven demand is worth a map. */
+  /** An engine that each request slows down so much that any uneven demand is worth a new map. */
   private static final EngineProfile ENGINE =
       new EngineProfile(8, 5, 2, 6, 150, 800, 75, 1, 4, 3, 2, 100, 100_000, 0.85, 600);
 
@@ -59,20 +59,20 @@
     }
   }
 
-  private void hearStates(long now) {
+  private void reportStates(long now) {
     for (int rank = 0; rank < RANKS; rank++) {
-      RankState.Membership place =
+      RankState.Membership membership =
           new RankState.Membership("g", 2, rank, RANKS, true, 7, 0, 0, 0, 0, OptionalLong.empty());
-      controller.onState(host(rank), new RankState(3, 0, 1, Optional.of(place)), now);
+      controller.onState(host(rank), new RankState(3, 0, 1, Optional.of(membership)), now);
     }
   }
 
-  private void hearMaps() {
+  private void reportMaps() {
     controller.onMap(host(0), new RankEngine.HeldMap(2, 0, new int[][] {{0, 2}}));
     controller.onMap(host(1), new RankEngine.HeldMap(2, 0, new int[][] {{1, 3}}));
   }
 
-  private void hearUnevenPicks() {
+  private void reportUnevenPicks() {
     for (long now = 100; now <= 600; now += 100) {
       for (int rank = 0; rank < RANKS; rank++) {
         long[] counts = {now * 90, now, now * 90, now};
@@ -81,16 +81,16 @@
     }
   }
 
-  // Nearly every answer is late from a loss of power to the end of the day. The entry that took the
-  // lead heard each agent's map before that agent's first report, dropped it as of no known group,
-  // and an agent tells its map once.
+  // Guards against a leader that never learns the maps, which made nearly every answer late after a
+  // power loss. It dropped maps that arrived before the first report as of an unknown group, and an
+  // agent sends its map only once.
   @Test
-  void mapThatIsToldBeforeTheFirstReportIsUsed() {
+  void usesMapReceivedBeforeFirstReport() {
     controller.tick(true, 0);
-    hearMaps();
-    hearStates(50);
-    hearUnevenPicks();
-    hearStates(650);
+    reportMaps();
+    reportStates(50);
+    reportUnevenPicks();
+    reportStates(650);
     controller.tick(true, 700);
 
     assertThat(orders).isNotEmpty();
@@ -98,43 +98,43 @@
   }
 
   @Test
-  void entryThatDoesNotLeadGivesNoOrders() {
-    hearStates(50);
-    hearMaps();
-    hearUnevenPicks();
+  void sendsNoOrdersWhenNotLeading() {
+    reportStates(50);
+    reportMaps();
+    reportUnevenPicks();
     controller.tick(false, 700);
 
     assertThat(orders).isEmpty();
   }
 
   @Test
-  void mapOfAnEarlierEpochIsNotUsed() {
+  void ignoresMapOfEarlierEpoch() {
     controller.tick(true, 0);
     controller.onMap(host(0), new RankEngine.HeldMap(1, 0, new int[][] {{0, 2}}));
     controller.onMap(host(1), new RankEngine.HeldMap(1, 0, new int[][] {{1, 3}}));
-    hearStates(50);
-    hearUnevenPicks();
-    hearStates(650);
+    reportStates(50);
+    reportUnevenPicks();
+    reportStates(650);
     controller.tick(true, 700);
 
     assertThat(orders).isEmpty();
   }
 
-  // Streams stutter until the leader changes. It found the group while an older configuration said
-  // of the engines that they have one expert, went on by that when the right figures came, and
-  // threw every rank's counts away as of another shape.
+  // Guards against streams that stutter until the leader changes. The leader found the group under
+  // an older configuration with one expert for each engine, kept that profile when the
+  // configuration was corrected, and rejected the counts of every rank as of the wrong length.
   @Test
-  void newFiguresOfTheEnginesAreUsedForAGroupThatIsKnown() {
+  void usesNewEngineProfileForKnownGroup() {
     configuration =
         configuration(
             new EngineProfile(8, 5, 2, 6, 150, 800, 75, 1, 1, 3, 2, 100, 100_000, 0.85, 600));
     controller.tick(true, 0);
-    hearStates(20);
+    reportStates(20);
     configuration = configuration(ENGINE);
-    hearMaps();
-    hearStates(50);
-    hearUnevenPicks();
-    hearStates(650);
+    reportMaps();
+    reportStates(50);
+    reportUnevenPicks();
+    reportStates(650);
     controller.tick(true, 700);
 
     assertThat(orders).isNotEmpty();
