--- a/core/src/main/java/dev/ibishub/core/AdmissionDecision.java
+++ b/core/src/main/java/dev/ibishub/core/AdmissionDecision.java
@@ -5,25 +5,27 @@
 import java.util.Optional;
 
 /**
- * Whether a request is let in.
+ * The decision whether a request is admitted.
  *
- * @param code {@link ResultCode#OK} when it is, else why not
- * @param retryAt the earliest time at which another try makes sense; empty when let in
+ * @param code {@link ResultCode#OK} if admitted, else the reason for the refusal
+ * @param retryAt the earliest time at which a retry makes sense; empty if admitted
  */
 public record AdmissionDecision(ResultCode code, Optional<Instant> retryAt) {
   private static final AdmissionDecision ADMITTED =
       new AdmissionDecision(ResultCode.OK, Optional.empty());
 
-  /** Checks that the fields are given. */
+  /** Checks that the fields are not null. */
   public AdmissionDecision {
     Objects.requireNonNull(code, "code");
     Objects.requireNonNull(retryAt, "retryAt");
   }
 
-  static AdmissionDecision letIn() {
+  /** Returns the decision to admit a request. */
+  static AdmissionDecision ok() {
     return ADMITTED;
   }
 
+  /** Returns the decision to refuse a request for the given reason. */
   static AdmissionDecision refused(ResultCode code, Instant retryAt) {
     return new AdmissionDecision(code, Optional.of(retryAt));
   }
--- a/core/src/main/java/dev/ibishub/core/AdmissionOptions.java
+++ b/core/src/main/java/dev/ibishub/core/AdmissionOptions.java
@@ -1,12 +1,13 @@
 package dev.ibishub.core;
 
 /**
- * When an {@link Admission} sheds work.
+ * Thresholds at which an {@link Admission} sheds work.
  *
  * @param longestWaitSeconds estimated wait above which work of priority 0 is shed
- * @param burstSeconds how many seconds of its limit a workspace may use at once
- * @param waitMargin factor on the estimated wait when it is held against a deadline, at least 1;
- *     work that is let in and then runs out of time has cost its caller the whole wait
+ * @param burstSeconds number of seconds of its rate limit that a workspace may use at once
+ * @param waitMargin factor by which the estimated wait is multiplied before it is compared with a
+ *     deadline, at least 1; a request that is admitted and then misses its deadline has cost its
+ *     caller the whole wait
  */
 public record AdmissionOptions(double longestWaitSeconds, double burstSeconds, double waitMargin) {
   /** Checks the ranges; fails with {@link IllegalArgumentException}. */
@@ -18,7 +19,9 @@
     }
   }
 
-  /** The options that docs/MEASUREMENTS.md was measured with. */
+  /**
+   * Returns the default options: a wait of 10 seconds, a burst of 1 second and a wait margin of 2.
+   */
   public static AdmissionOptions defaults() {
     return new AdmissionOptions(10, 1, 2);
   }
--- a/core/src/main/java/dev/ibishub/core/AdmissionQuery.java
+++ b/core/src/main/java/dev/ibishub/core/AdmissionQuery.java
@@ -4,16 +4,16 @@
 import java.util.Objects;
 
 /**
- * A request that asks to be let in.
+ * A request for which admission is to be decided.
  *
- * @param workspace of the caller
- * @param limits of the workspace, from the configuration in force
- * @param priority of the request; higher may wait longer before it is shed
- * @param estimatedTokens expected cost
+ * @param workspace workspace of the caller
+ * @param limits limits of the workspace, from the configuration in force
+ * @param priority priority of the request; a higher one may wait longer before it is shed
+ * @param estimatedTokens expected cost in tokens
  * @param serviceSeconds expected time from the start at a target to the end of the answer
- * @param estimatedStart when a target would start work that came now in the order of arrival, from
+ * @param estimatedStart when a target would start this work in first-in, first-out order, from
  *     {@link Router#estimatedStart}
- * @param deadline by which the whole answer is wanted
+ * @param deadline time by which the whole answer is needed
  */
 public record AdmissionQuery(
     String workspace,
@@ -23,7 +23,7 @@
     double serviceSeconds,
     Instant estimatedStart,
     Instant deadline) {
-  /** Checks that the fields are given and in range. */
+  /** Checks that the fields are not null and in range. */
   public AdmissionQuery {
     Objects.requireNonNull(workspace, "workspace");
     Objects.requireNonNull(limits, "limits");
--- a/core/src/main/java/dev/ibishub/core/WorkspaceLimits.java
+++ b/core/src/main/java/dev/ibishub/core/WorkspaceLimits.java
@@ -1,12 +1,12 @@
 package dev.ibishub.core;
 
 /**
- * What a workspace may use over all entries together.
+ * Limits of a workspace.
  *
- * @param requestsPerSecond requests a second; infinite for no limit
- * @param tokensPerSecond tokens a second; infinite for no limit
- * @param concurrent requests at the same time at one entry
- * @param weight share against other workspaces when there is not enough for all
+ * @param requestsPerSecond requests a second over all entries together; infinite for no limit
+ * @param tokensPerSecond tokens a second over all entries together; infinite for no limit
+ * @param concurrent requests in flight at one entry
+ * @param weight share relative to other workspaces under contention
  */
 public record WorkspaceLimits(
     double requestsPerSecond, double tokensPerSecond, int concurrent, double weight) {
@@ -19,7 +19,7 @@
     }
   }
 
-  /** No limit and weight 1. */
+  /** Returns limits that allow everything, with weight 1. */
   public static WorkspaceLimits unlimited() {
     return new WorkspaceLimits(
         Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, Integer.MAX_VALUE, 1);
--- a/core/src/main/java/dev/ibishub/core/WorkspaceUse.java
+++ b/core/src/main/java/dev/ibishub/core/WorkspaceUse.java
@@ -1,13 +1,13 @@
 package dev.ibishub.core;
 
 /**
- * What a workspace has used at one entry since that entry's start. Both counts only grow, so a
- * report that is lost or comes twice does no harm.
+ * Cumulative use of a workspace at one entry since that entry's start. Both counts are totals, so a
+ * lost or repeated report does no harm.
  *
- * @param requests requests admitted
- * @param tokens tokens charged
+ * @param requests number of admitted requests
+ * @param tokens number of charged tokens
  */
 public record WorkspaceUse(double requests, double tokens) {
-  /** Nothing used. */
+  /** Use of a workspace that has sent nothing. */
   public static final WorkspaceUse NONE = new WorkspaceUse(0, 0);
 }
--- a/core/src/main/java/dev/ibishub/core/internal/overload/WorkspaceShard.java
+++ b/core/src/main/java/dev/ibishub/core/internal/overload/WorkspaceShard.java
@@ -9,33 +9,38 @@
 import java.util.Map;
 
 /**
- * The workspaces whose names hash to one shard. State of a workspace that has been idle for a while
- * is dropped by later calls. Thread-safe by one lock.
+ * The workspaces whose names hash to one shard of an admission control. Later calls evict the state
+ * of workspaces that were idle for 60 seconds. Thread-safe by one lock.
  */
 public final class WorkspaceShard {
-  private static final double FORGET_AFTER_SECONDS = 60;
-  private static final double REPORT_FOR_SECONDS = 10;
+  private static final double IDLE_EVICTION_SECONDS = 60;
+  private static final double REPORT_ACTIVE_WITHIN_SECONDS = 10;
 
   private final Map<String, WorkspaceState> states = new LinkedHashMap<>(16, 0.75f, true);
   private final double burstSeconds;
 
-  /** Creates an empty shard whose workspaces may use so many seconds of their limits at once. */
+  /**
+   * Creates an empty shard.
+   *
+   * @param burstSeconds number of seconds of its rate limits that a workspace may use at once
+   */
   public WorkspaceShard(double burstSeconds) {
     this.burstSeconds = burstSeconds;
   }
 
-  /** What an admission needs to know of a workspace before it decides. */
-  public synchronized Standing standing(String workspace, WorkspaceLimits limits, Instant now) {
+  /** Refills the rate limits of a workspace and compares its use with all its limits. */
+  public synchronized LimitCheck checkLimits(
+      String workspace, WorkspaceLimits limits, Instant now) {
     WorkspaceState state = touch(workspace, now);
     state.refill(limits, burstSeconds, now);
-    return new Standing(
-        state.isWithinRates(),
-        state.withinRatesAt(now),
+    return new LimitCheck(
+        state.isWithinRateLimits(),
+        state.withinRateLimitsAt(now),
         state.running() < limits.concurrent(),
         state.waitingTokens());
   }
 
-  /** Charges a request that was let in; returns the change of the weight that waits. */
+  /** Charges an admitted request; returns the change in the total weight of waiting workspaces. */
   public synchronized double admit(String workspace, double estimatedTokens, Instant now) {
     WorkspaceState state = touch(workspace, now);
     double before = state.waitingWeight();
@@ -43,7 +48,10 @@
     return state.waitingWeight() - before;
   }
 
-  /** Notes that a target started the work; returns the change of the weight that waits. */
+  /**
+   * Records that a target started the work; returns the change in the total weight of waiting
+   * workspaces.
+   */
   public synchronized double started(String workspace, double estimatedTokens, Instant now) {
     WorkspaceState state = touch(workspace, now);
     double before = state.waitingWeight();
@@ -57,56 +65,57 @@
     touch(workspace, now).finished(estimatedTokens, actualTokens);
   }
 
-  /** Charges what a peer reports. */
+  /** Charges the use that a peer reports. */
   public synchronized void observePeer(
       String peer, String workspace, WorkspaceUse use, Instant now) {
     touch(workspace, now).observePeer(peer, use);
   }
 
-  /** Adds the use of each workspace that used something lately. */
+  /** Adds to the result the use of each workspace that was active in the last 10 seconds. */
   public synchronized void collectUse(Map<String, WorkspaceUse> result, Instant now) {
     states.forEach(
         (workspace, state) -> {
-          if (state.wasUsedWithin(REPORT_FOR_SECONDS, now)) {
+          if (state.wasUsedWithin(REPORT_ACTIVE_WITHIN_SECONDS, now)) {
             result.put(workspace, state.ownUse());
           }
         });
   }
 
-  /** Workspaces whose state is kept. */
+  /** Returns the number of workspaces whose state is kept. */
   public synchronized int size() {
     return states.size();
   }
 
   private WorkspaceState touch(String workspace, Instant now) {
-    forgetIdle(now);
+    evictIdle(now);
     WorkspaceState state = states.computeIfAbsent(workspace, name -> new WorkspaceState(now));
     state.touch(now);
     return state;
   }
 
-  private void forgetIdle(Instant now) {
-    Iterator<WorkspaceState> oldestFirst = states.values().iterator();
-    while (oldestFirst.hasNext()) {
-      WorkspaceState oldest = oldestFirst.next();
-      if (oldest.running() > 0 || Seconds.between(oldest.touchedAt(), now) < FORGET_AFTER_SECONDS) {
+  private void evictIdle(Instant now) {
+    Iterator<WorkspaceState> leastRecentFirst = states.values().iterator();
+    while (leastRecentFirst.hasNext()) {
+      WorkspaceState leastRecent = leastRecentFirst.next();
+      if (leastRecent.running() > 0
+          || Seconds.between(leastRecent.touchedAt(), now) < IDLE_EVICTION_SECONDS) {
         return;
       }
-      oldestFirst.remove();
+      leastRecentFirst.remove();
     }
   }
 
   /**
-   * How a workspace stands.
+   * A workspace's use compared with its limits.
    *
-   * @param withinRates whether its rates have room
-   * @param withinRatesAt when they have
-   * @param withinConcurrency whether it may run one more request
-   * @param waitingTokens estimate of its work that was let in and has not started
+   * @param withinRateLimits whether its rate limits allow a request now
+   * @param withinRateLimitsAt when they do
+   * @param withinConcurrencyLimit whether it may have one more request in flight
+   * @param waitingTokens estimated tokens of its admitted work that has not started
    */
-  public record Standing(
-      boolean withinRates,
-      Instant withinRatesAt,
-      boolean withinConcurrency,
+  public record LimitCheck(
+      boolean withinRateLimits,
+      Instant withinRateLimitsAt,
+      boolean withinConcurrencyLimit,
       double waitingTokens) {}
 }
--- a/core/src/main/java/dev/ibishub/core/internal/overload/WorkspaceState.java
+++ b/core/src/main/java/dev/ibishub/core/internal/overload/WorkspaceState.java
@@ -7,10 +7,13 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What one entry knows of one workspace. Not thread-safe: its shard's lock guards it. */
+/**
+ * One entry's state of one workspace: rate limits, use and work in flight. Not thread-safe: guarded
+ * by the lock of its shard.
+ */
 final class WorkspaceState {
-  private final SharedBucket requests;
-  private final SharedBucket tokens;
+  private final SharedTokenBucket requests;
+  private final SharedTokenBucket tokens;
   private final Map<String, WorkspaceUse> peerUse = new HashMap<>();
   private WorkspaceUse ownUse = WorkspaceUse.NONE;
   private int running;
@@ -20,8 +23,8 @@
   private Instant usedAt = Instant.MIN;
 
   WorkspaceState(Instant now) {
-    requests = new SharedBucket(now);
-    tokens = new SharedBucket(now);
+    requests = new SharedTokenBucket(now);
+    tokens = new SharedTokenBucket(now);
     touchedAt = now;
   }
 
@@ -43,14 +46,14 @@
     tokens.refill(limits.tokensPerSecond(), burstSeconds, now);
   }
 
-  boolean isWithinRates() {
-    return requests.hasRoom() && tokens.hasRoom();
+  boolean isWithinRateLimits() {
+    return requests.hasCredit() && tokens.hasCredit();
   }
 
-  /** When both rates have room again. */
-  Instant withinRatesAt(Instant now) {
-    Instant requestsAt = requests.roomAt(now);
-    Instant tokensAt = tokens.roomAt(now);
+  /** Returns when both rate limits allow requests again. */
+  Instant withinRateLimitsAt(Instant now) {
+    Instant requestsAt = requests.creditAt(now);
+    Instant tokensAt = tokens.creditAt(now);
     return requestsAt.isAfter(tokensAt) ? requestsAt : tokensAt;
   }
 
@@ -71,12 +74,15 @@
     running = Math.max(0, running - 1);
     waitingTokens = running == 0 ? 0 : waitingTokens;
     usedAt = touchedAt;
-    double more = actualTokens - estimatedTokens;
-    ownUse = new WorkspaceUse(ownUse.requests(), ownUse.tokens() + more);
-    tokens.take(more);
+    double correction = actualTokens - estimatedTokens;
+    ownUse = new WorkspaceUse(ownUse.requests(), ownUse.tokens() + correction);
+    tokens.take(correction);
   }
 
-  /** Charges what a peer used since its last report; counts that fell mean that it restarted. */
+  /**
+   * Charges what a peer used since its last report. A lower request count than before means that
+   * the peer restarted and counts from zero.
+   */
   void observePeer(String peer, WorkspaceUse use) {
     WorkspaceUse before = peerUse.put(peer, use);
     boolean restarted = before != null && use.requests() < before.requests();
@@ -97,7 +103,7 @@
     return waitingTokens;
   }
 
-  /** The workspace's weight while it has work that waits, else 0. */
+  /** Returns the workspace's weight while it has waiting work, else 0. */
   double waitingWeight() {
     return waitingTokens > 0 ? weight : 0;
   }
--- a/core/src/test/java/dev/ibishub/core/AdmissionTest.java
+++ b/core/src/test/java/dev/ibishub/core/AdmissionTest.java
@@ -15,7 +15,7 @@
   private final Admission admission = Admission.create(AdmissionOptions.defaults());
 
   @Test
-  void workspaceIsHeldToItsRateAndToldWhenToComeBack() {
+  void refusesRequestsAboveRateLimitWithRetryTime() {
     assertThat(admitted(admission, 30, NOW)).isEqualTo(10);
     AdmissionDecision refused = admission.admit(query("a", TEN_REQUESTS, 0, 60), NOW);
 
@@ -25,11 +25,11 @@
   }
 
   /**
-   * A customer with a limit of 10 gets 70 through: seven entries each count only their own
-   * requests.
+   * Guards against entries that each count only their own requests: seven of them would admit 70
+   * requests a second under a limit of 10.
    */
   @Test
-  void limitHoldsOverAllEntriesTogether() {
+  void limitsRateOverAllEntriesTogether() {
     List<Admission> entries =
         IntStream.range(0, 7)
             .mapToObj(number -> Admission.create(AdmissionOptions.defaults()))
@@ -45,9 +45,9 @@
     assertThat(total).isBetween(195, 275);
   }
 
-  /** Lost and repeated reports of a peer neither lose nor double its use. */
+  /** A lost or repeated report of a peer must neither lose nor double its use. */
   @Test
-  void repeatedReportOfPeerIsChargedOnce() {
+  void chargesRepeatedPeerReportOnce() {
     Admission peer = Admission.create(AdmissionOptions.defaults());
     admitted(peer, 5, NOW);
     admission.observePeerUsage("peer", peer.usage(NOW), NOW);
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void workThatCannotFinishInTimeIsRefusedAtOnce() {
+  void refusesRequestThatCannotFinishByDeadline() {
     AdmissionQuery query = query("a", WorkspaceLimits.unlimited(), 5, 3);
 
     AdmissionDecision decision = admission.admit(query, NOW);
@@ -67,11 +67,12 @@
   }
 
   /**
-   * A small publisher is refused all afternoon: the backlog of a large workspace makes the
-   * estimated wait long, although fair queueing would have started the publisher's request at once.
+   * Guards against an estimate in first-in, first-out order, by which the backlog of a large
+   * workspace gets a small one refused, although fair queueing would start the small one's request
+   * at once.
    */
   @Test
-  void backlogOfFloodDoesNotRefuseSmallWorkspace() {
+  void admitsSmallWorkspaceDespiteBacklogOfLargeOne() {
     IntStream.range(0, 100)
         .forEach(
             number -> admission.admit(query("flood", WorkspaceLimits.unlimited(), 9, 600), NOW));
@@ -83,7 +84,7 @@
   }
 
   @Test
-  void workspaceIsHeldToItsConcurrencyUntilWorkEnds() {
+  void refusesRequestsAboveConcurrencyLimitUntilOneEnds() {
     WorkspaceLimits one =
         new WorkspaceLimits(Double.POSITIVE_INFINITY, Double.POSITIVE_INFINITY, 1, 1);
     admission.admit(query("a", one, 0, 60), NOW);
@@ -96,7 +97,7 @@
   }
 
   @Test
-  void idleWorkspacesAreForgotten() {
+  void evictsIdleWorkspaces() {
     IntStream.range(0, 1000)
         .forEach(
             number -> {
@@ -128,8 +129,14 @@
   }
 
   private static AdmissionQuery query(
-      String workspace, WorkspaceLimits limits, int startsIn, int deadlineIn) {
+      String workspace, WorkspaceLimits limits, int startsInSeconds, int deadlineInSeconds) {
     return new AdmissionQuery(
-        workspace, limits, 0, 100, 1, NOW.plusSeconds(startsIn), NOW.plusSeconds(deadlineIn));
+        workspace,
+        limits,
+        0,
+        100,
+        1,
+        NOW.plusSeconds(startsInSeconds),
+        NOW.plusSeconds(deadlineInSeconds));
   }
 }
