--- a/core/src/main/java/dev/ibishub/core/FairQueue.java
+++ b/core/src/main/java/dev/ibishub/core/FairQueue.java
@@ -11,14 +11,16 @@
 import java.util.TreeSet;
 
 /**
- * The work that waits at one target, handed out by start-time fair queueing over workspaces: while
- * several workspaces wait, each gets tokens in proportion to its weight, whatever the others offer.
- * Estimates are charged when work is handed out and corrected when it has completed.
+ * The queue of work at one target, served by start-time fair queueing over workspaces: while
+ * several workspaces have work waiting, each gets tokens in proportion to its weight, however much
+ * the others offer. Estimated tokens are charged when work is polled and corrected when it has
+ * completed.
  *
- * <p>Every command takes time logarithmic in the work and workspaces that wait. A workspace without
- * work is forgotten once the others have caught up with it. After idle time a workspace may use a
- * short burst at once; work within it is urgent: its workspace has used less than its share.
- * Thread-safe by one lock: a target's work has one order, so there is nothing to shard.
+ * <p>Every operation takes time logarithmic in the number of waiting items and workspaces. The
+ * state of a workspace without work is evicted once the others have caught up with it. After idle
+ * time a workspace may use a short burst at once. Work within that burst is urgent, since its
+ * workspace has used less than its share. Thread-safe by one lock: a target's work has one order,
+ * so there is nothing to shard.
  *
  * <pre>{@code
  * queue.offer(work);
@@ -34,9 +36,10 @@
  */
 public final class FairQueue<T> {
   /**
-   * Tokens, divided by the weight, that a workspace may be ahead of its share after it has been
-   * idle. Without it two requests of a small workspace that meet at one target wait for each other
-   * as long as its small share takes to pay for the first, however little it uses over all targets.
+   * Tokens, divided by the weight, that a workspace may use ahead of its share after it has been
+   * idle. Without this burst, the second of two requests of a small workspace at one target waits
+   * until the workspace's small share has paid for the first, however little it uses over all
+   * targets.
    */
   private static final double BURST_TOKENS = 1000;
 
@@ -48,7 +51,7 @@
   private final List<QueuedWork<T>> expired = new ArrayList<>();
   private double virtualTime;
   private double queuedTokens;
-  private long arrivals;
+  private long nextArrivalNumber;
 
   private FairQueue() {}
 
@@ -60,14 +63,14 @@
   /**
    * Adds work.
    *
-   * @param work what waits from now on
-   * @return false when work with the same id waits already; the queue is then unchanged
+   * @param work the work to add
+   * @return false if work with the same id is already waiting; the queue is then unchanged
    */
   public synchronized boolean offer(QueuedWork<T> work) {
     if (waitingById.containsKey(work.id())) {
       return false;
     }
-    WaitingWork<T> waiting = new WaitingWork<>(work, arrivals++);
+    WaitingWork<T> waiting = new WaitingWork<>(work, nextArrivalNumber++);
     waitingById.put(work.id(), waiting);
     byDeadline.add(waiting);
     queuedTokens += work.estimatedTokens();
@@ -79,14 +82,13 @@
   }
 
   /**
-   * Hands out the next work. Work past its deadline is never handed out; it is left for {@link
-   * #removeExpired}.
+   * Removes and returns the next work. Work past its deadline is left for {@link #removeExpired}.
    *
    * @param now the current time
-   * @return the work to start, or empty when none waits
+   * @return the work to start, or empty if none is waiting
    */
   public synchronized Optional<QueuedWork<T>> poll(Instant now) {
-    setExpiredAside(now);
+    collectExpired(now);
     if (backlogged.isEmpty()) {
       return Optional.empty();
     }
@@ -94,57 +96,57 @@
     virtualTime = Math.max(virtualTime, flow.start());
     WaitingWork<T> first = flow.takeFirst();
     attach(flow);
-    forget(first);
+    removeFromIndexes(first);
     if (backlogged.isEmpty()) {
       virtualTime = Math.max(virtualTime, idle.last().start() + BURST_TOKENS);
     }
-    forgetIdleFlows();
+    evictIdleFlows();
     return Optional.of(first.work());
   }
 
   /**
-   * Whether the next work is urgent: its workspace has used less than its share, so it may take a
-   * place that is kept free for such work and be read first by the engine.
+   * Returns whether the next work is urgent, that is, whether its workspace has used less than its
+   * share. Urgent work may take a permit reserved for it, and the engine may process it first.
    */
   public synchronized boolean isNextUrgent() {
     return !backlogged.isEmpty() && backlogged.first().start() < virtualTime;
   }
 
   /**
-   * Withdraws work that still waits.
+   * Removes work that is still waiting.
    *
-   * @param id of the work
-   * @return false when no such work waits: it was handed out, has expired or never came
+   * @param id id of the work
+   * @return false if no such work is waiting: it was polled, has expired or was never offered
    */
   public synchronized boolean remove(String id) {
     WaitingWork<T> waiting = waitingById.get(id);
     if (waiting == null) {
       return false;
     }
-    takeOut(waiting);
+    removeWaiting(waiting);
     return true;
   }
 
   /**
-   * Takes out all work whose deadline has come. Each piece is returned once.
+   * Removes all work whose deadline has passed. Each item is returned once.
    *
    * @param now the current time
-   * @return the work that will not be handed out any more
+   * @return the expired work, which {@link #poll} no longer returns
    */
   public synchronized List<QueuedWork<T>> removeExpired(Instant now) {
-    setExpiredAside(now);
+    collectExpired(now);
     List<QueuedWork<T>> result = List.copyOf(expired);
     expired.clear();
     return result;
   }
 
   /**
-   * Corrects the charge for work that was handed out. A workspace that used less than estimated is
-   * paid back, though it saves up no more than a short burst.
+   * Corrects the charge for polled work. A workspace that used less than estimated gets the
+   * difference back, but accumulates no more than a short burst.
    *
-   * @param workspace that the work was charged to
-   * @param estimatedTokens what was charged
-   * @param actualTokens what the work used
+   * @param workspace workspace that was charged
+   * @param estimatedTokens tokens that were charged
+   * @param actualTokens tokens that the work used
    */
   public synchronized void completed(
       String workspace, double estimatedTokens, double actualTokens) {
@@ -157,41 +159,41 @@
     flow.charge(difference);
     flow.startNoEarlierThan(virtualTime - BURST_TOKENS);
     attach(flow);
-    forgetIdleFlows();
+    evictIdleFlows();
   }
 
-  /** Pieces of work that wait. */
+  /** Returns the number of waiting items. */
   public synchronized int size() {
     return waitingById.size();
   }
 
-  /** Sum of the estimates of the work that waits. */
+  /** Returns the sum of the estimated tokens of the waiting work. */
   public synchronized double queuedTokens() {
     return waitingById.isEmpty() ? 0 : queuedTokens;
   }
 
-  /** Workspaces whose state is kept. */
+  /** Returns the number of workspaces whose state is kept. */
   synchronized int knownWorkspaces() {
     return flows.size();
   }
 
-  private void setExpiredAside(Instant now) {
+  private void collectExpired(Instant now) {
     while (!byDeadline.isEmpty() && !byDeadline.first().work().deadline().isAfter(now)) {
       WaitingWork<T> waiting = byDeadline.first();
-      takeOut(waiting);
+      removeWaiting(waiting);
       expired.add(waiting.work());
     }
   }
 
-  private void takeOut(WaitingWork<T> waiting) {
+  private void removeWaiting(WaitingWork<T> waiting) {
     Flow<T> flow = detach(flows.get(waiting.work().workspace()));
     flow.remove(waiting);
     attach(flow);
-    forget(waiting);
-    forgetIdleFlows();
+    removeFromIndexes(waiting);
+    evictIdleFlows();
   }
 
-  private void forget(WaitingWork<T> waiting) {
+  private void removeFromIndexes(WaitingWork<T> waiting) {
     waitingById.remove(waiting.work().id());
     byDeadline.remove(waiting);
     queuedTokens -= waiting.work().estimatedTokens();
@@ -216,11 +218,12 @@
   }
 
   /**
-   * Without this the state grows with every workspace ever seen. A flow whose next start is not
-   * ahead of virtual time would start there anyway, so nothing is lost with it; and once the last
-   * work is handed out, nobody is behind anybody.
+   * Evicts idle flows whose next start is not ahead of the virtual time less the burst. A new flow
+   * would start at the same place, so no information is lost. Once the last work is polled, no
+   * workspace is behind another, so {@link #poll} moves virtual time past all flows. Without
+   * eviction the state grows with every workspace ever seen.
    */
-  private void forgetIdleFlows() {
+  private void evictIdleFlows() {
     while (!idle.isEmpty() && idle.first().start() <= virtualTime - BURST_TOKENS) {
       flows.remove(idle.pollFirst().workspace());
     }
--- a/core/src/main/java/dev/ibishub/core/QueuedWork.java
+++ b/core/src/main/java/dev/ibishub/core/QueuedWork.java
@@ -4,15 +4,15 @@
 import java.util.Objects;
 
 /**
- * One piece of work that waits at a target.
+ * One item of work in a target's {@link FairQueue}.
  *
- * @param id unique among the work that waits; a second offer of the same id is refused
- * @param workspace whose share the work is charged to
- * @param weight share of the workspace against others, above zero
- * @param priority orders work within its workspace only, higher first
- * @param estimatedTokens expected cost, zero or more
- * @param deadline after which the work is not handed out any more
- * @param item what the caller of the queue wants back
+ * @param id id, unique among the waiting work; a second offer of the same id is refused
+ * @param workspace workspace to which the work is charged
+ * @param weight share of the workspace relative to others, above zero
+ * @param priority order within the workspace, higher first
+ * @param estimatedTokens expected cost in tokens, zero or more
+ * @param deadline time from which the work is no longer started
+ * @param item the caller's own object for this work
  * @param <T> type of the item
  */
 public record QueuedWork<T>(
--- a/core/src/main/java/dev/ibishub/core/internal/fairness/Flow.java
+++ b/core/src/main/java/dev/ibishub/core/internal/fairness/Flow.java
@@ -4,14 +4,14 @@
 import java.util.TreeSet;
 
 /**
- * The work of one workspace in start-time fair queueing: its next work starts at the virtual time
- * {@link #start()}. Not thread-safe; whoever keeps flows in a sorted set takes a flow out before it
- * changes the start.
+ * The queue of one workspace in start-time fair queueing. {@link #start()} is the virtual time at
+ * which its next work starts. Not thread-safe. A flow in a sorted set must be taken out before its
+ * start changes.
  *
  * @param <T> type of the items
  */
 public final class Flow<T> {
-  /** The flow whose next work starts earliest in virtual time. */
+  /** Order by the virtual start time of the next work, earliest first. */
   public static final Comparator<Flow<?>> BY_START =
       Comparator.<Flow<?>>comparingDouble(Flow::start).thenComparing(Flow::workspace);
 
@@ -26,7 +26,7 @@
     this.weight = weight;
   }
 
-  /** Creates a flow without work whose next work starts at the given virtual time. */
+  /** Creates an empty flow whose next work starts at the given virtual time. */
   public static <T> Flow<T> startingAt(double start, String workspace, double weight) {
     return new Flow<>(workspace, start, weight);
   }
@@ -43,7 +43,7 @@
     return waiting.isEmpty();
   }
 
-  /** Adds work; the newest weight of the workspace counts. */
+  /** Adds work and takes over its weight as that of the workspace. */
   public void add(WaitingWork<T> work) {
     weight = work.work().weight();
     waiting.add(work);
@@ -53,19 +53,21 @@
     waiting.remove(work);
   }
 
-  /** Takes the first work out and charges its estimate. */
+  /** Removes the first work and charges its estimated tokens. */
   public WaitingWork<T> takeFirst() {
     WaitingWork<T> first = waiting.pollFirst();
     charge(first.work().estimatedTokens());
     return first;
   }
 
-  /** Moves the next start by the given tokens, which may be negative. */
+  /**
+   * Moves the next start by the given tokens divided by the weight; negative tokens move it back.
+   */
   public void charge(double tokens) {
     start += tokens / weight;
   }
 
-  /** Lets the flow's next work start no earlier than the given virtual time. */
+  /** Moves the next start to the given virtual time if it is earlier. */
   public void startNoEarlierThan(double virtualTime) {
     start = Math.max(start, virtualTime);
   }
--- a/core/src/test/java/dev/ibishub/core/FairQueueTest.java
+++ b/core/src/test/java/dev/ibishub/core/FairQueueTest.java
@@ -15,11 +15,11 @@
   private final FairQueue<String> queue = FairQueue.create();
 
   /**
-   * A publisher's lexicographer waits for minutes: a large workspace has sent a thousand requests
-   * before hers, and they are all served first, because the queue goes by arrival.
+   * Guards against first-in, first-out order, in which a small workspace waits behind a thousand
+   * requests of a large one.
    */
   @Test
-  void smallWorkspaceIsNotStarvedByFlood() {
+  void servesSmallWorkspaceDespiteBacklogOfLargeOne() {
     IntStream.range(0, 1000).forEach(number -> offer("large" + number, "large", 1, 100));
     offer("small", "small", 1, 100);
 
@@ -27,7 +27,7 @@
   }
 
   @Test
-  void workspacesShareTokensByWeight() {
+  void sharesTokensByWeight() {
     IntStream.range(0, 300).forEach(number -> offer("a" + number, "a", 2, 100));
     IntStream.range(0, 300).forEach(number -> offer("b" + number, "b", 1, 100));
 
@@ -35,7 +35,7 @@
   }
 
   @Test
-  void priorityCountsOnlyWithinWorkspace() {
+  void appliesPriorityOnlyWithinWorkspace() {
     offer("a-low", "a", 1, 100);
     queue.offer(new QueuedWork<>("a-high", "a", 1, 9, 100, LATER, "a-high"));
     offer("b", "b", 1, 100);
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void workUnderKnownIdIsRefused() {
+  void refusesWorkWithIdThatIsAlreadyWaiting() {
     offer("one", "a", 1, 100);
 
     assertThat(queue.offer(new QueuedWork<>("one", "a", 1, 0, 5, LATER, "again"))).isFalse();
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void expiredWorkIsNeverHandedOutAndReturnedOnce() {
+  void returnsExpiredWorkOnceAndNeverFromPoll() {
     queue.offer(new QueuedWork<>("late", "a", 1, 0, 100, NOW, "late"));
 
     assertThat(queue.poll(NOW)).isEmpty();
@@ -61,7 +61,7 @@
   }
 
   @Test
-  void withdrawnWorkIsNotHandedOut() {
+  void doesNotPollRemovedWork() {
     offer("one", "a", 1, 100);
 
     assertThat(queue.remove("one")).isTrue();
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void workspaceThatUsedMoreThanEstimatedWaitsLonger() {
+  void delaysWorkspaceThatUsedMoreThanEstimated() {
     offer("a0", "a", 1, 10);
     queue.poll(NOW);
     queue.completed("a", 10, 1000);
@@ -81,12 +81,11 @@
   }
 
   /**
-   * A portal's pupils wait although the portal asks for little: two of its requests meet at one
-   * target, and the second waits until the portal's small share has paid for the first, while a
-   * flood of another workspace passes it.
+   * Guards against a queue without burst: two requests of a small workspace meet at one target, and
+   * the second waits behind another workspace's flood until the small share has paid for the first.
    */
   @Test
-  void secondRequestOfIdleWorkspacePassesFlood() {
+  void servesTwoRequestsOfIdleWorkspaceBeforeFlood() {
     IntStream.range(0, 300).forEach(number -> offer("flood" + number, "flood", 10, 100));
     IntStream.range(0, 200).forEach(number -> queue.poll(NOW));
     offer("small0", "small", 1, 100);
@@ -98,7 +97,7 @@
   }
 
   @Test
-  void idleWorkspacesAreForgotten() {
+  void evictsIdleWorkspaces() {
     IntStream.range(0, 1000)
         .forEach(
             number -> {
