--- a/core/src/main/java/dev/ibishub/core/RouteQuery.java
+++ b/core/src/main/java/dev/ibishub/core/RouteQuery.java
@@ -4,13 +4,13 @@
 import java.util.Set;
 
 /**
- * What a request needs of a target.
+ * What a request requires of its target.
  *
- * @param served what the target must serve
+ * @param served name of what the target must serve: a model, adapter, version or service
  * @param zone failure domain of the entry
  * @param prefixHash hash of the prompt's prefix; 0 for a request without one
- * @param estimatedTokens expected cost
- * @param excluded targets that were tried already
+ * @param estimatedTokens expected cost in tokens
+ * @param excluded targets that have already been tried
  */
 public record RouteQuery(
     String served, String zone, long prefixHash, double estimatedTokens, Set<String> excluded) {
--- a/core/src/main/java/dev/ibishub/core/Router.java
+++ b/core/src/main/java/dev/ibishub/core/Router.java
@@ -16,11 +16,14 @@
 import java.util.stream.Stream;
 
 /**
- * Chooses the target of a request at an entry. It estimates when each candidate would start the
- * work and takes the earliest; candidates are two targets at random, the one that the prompt's
- * prefix belongs to and those that are believed to have it cached. Load reports are late, so what
- * this entry sent since a report was measured is added to it; without that, every entry sends its
- * work to the target that looked idle in the last report.
+ * Chooses the target of a request at an entry. It estimates the cost of each candidate, mainly the
+ * wait before the work starts, and takes the cheapest. Candidates are two random targets, the
+ * owners of the prompt's prefix, and the targets that have reported the prefix as cached. Load
+ * reports are delayed, so the work that this entry sent since a report was measured is added to it;
+ * otherwise every entry would send its work to the target that was idle in the last report.
+ *
+ * <p>Used behind ibishub's own interface; on the platform of its users {@code TargetChoice} does
+ * this.
  *
  * <p>Thread-safe: each target's state has its own lock, and the lists of targets are immutable.
  *
@@ -34,12 +37,12 @@
  * }</pre>
  */
 public final class Router {
-  private static final double HOLDER_MISSES = 0.25;
-  private static final double SECOND_OWNER_MISSES = 0.25;
+  private static final double HOLDER_MISS_PROBABILITY = 0.25;
+  private static final double SECOND_OWNER_MISS_PROBABILITY = 0.25;
 
   private final RouterOptions options;
   private final Map<String, TargetState> targets = new ConcurrentHashMap<>();
-  private final Map<String, ServedTargets> byServed = new ConcurrentHashMap<>();
+  private final Map<String, ServedTargets> targetsByServed = new ConcurrentHashMap<>();
   private final CacheHints cacheHints;
   private final Object ejectionLock = new Object();
   private volatile int entries = 1;
@@ -49,13 +52,13 @@
     this.cacheHints = CacheHints.withCapacity(64 * options.cachedPrefixesPerTarget());
   }
 
-  /** Creates a router that knows no target. */
+  /** Creates a router without targets. */
   public static Router create(RouterOptions options) {
     return new Router(options);
   }
 
   /**
-   * Sets how many entries share the targets, this one among them.
+   * Sets how many entries share the targets, including this one.
    *
    * @param count at least 1
    */
@@ -64,15 +67,15 @@
   }
 
   /**
-   * Takes a target's report. One that was measured before the last is dropped.
+   * Applies a target's report, unless it was measured before the last one.
    *
-   * @param status what the target's agent says
+   * @param status report of the target's agent
    * @param now the current time
    */
   public void report(TargetStatus status, Instant now) {
     TargetState state =
         targets.computeIfAbsent(status.target(), target -> new TargetState(target, options, now));
-    // One report of a target at a time, or else a late one could undo the lists of a newer one.
+    // Lock per target: a late report must not undo the lists of a newer one.
     synchronized (state) {
       Set<String> before = state.status().served();
       state.report(status, now);
@@ -85,9 +88,9 @@
   }
 
   /**
-   * Forgets a target.
+   * Removes a target.
    *
-   * @param target that is gone
+   * @param target id of the target
    */
   public void remove(String target) {
     TargetState state = targets.remove(target);
@@ -97,15 +100,15 @@
   }
 
   /**
-   * Chooses a target. Choosing changes nothing: report the dispatch by {@link #sent}.
+   * Chooses a target. Choosing changes no state: report the dispatch by {@link #sent}.
    *
-   * @param query what the request needs
+   * @param query requirements of the request
    * @param now the current time
    * @param random source of the random candidates
-   * @return the target, or empty when none that serves the request takes work
+   * @return the target, or empty if no target that serves the request accepts work
    */
   public Optional<String> choose(RouteQuery query, Instant now, RandomGenerator random) {
-    ServedTargets served = byServed.get(query.served());
+    ServedTargets served = targetsByServed.get(query.served());
     if (served == null) {
       return Optional.empty();
     }
@@ -117,10 +120,10 @@
   }
 
   /**
-   * Notes that work was dispatched.
+   * Records a dispatch.
    *
-   * @param target that got it
-   * @param tokens expected cost
+   * @param target target of the dispatch
+   * @param tokens expected cost in tokens
    * @param now the current time
    */
   public void sent(String target, double tokens, Instant now) {
@@ -131,10 +134,10 @@
   }
 
   /**
-   * Notes that an attempt has ended.
+   * Records the end of an attempt.
    *
-   * @param target that had it
-   * @param tokens that it produced
+   * @param target target of the attempt
+   * @param tokens tokens that it produced
    * @param failed whether the target was at fault
    * @param started when the target started it
    * @param now the current time
@@ -144,7 +147,7 @@
     if (state == null || !state.finished(failed)) {
       return;
     }
-    // One lock over all ejections: two targets that fail at once must not both pass the cap.
+    // One lock for all ejections: two targets that fail at once must not both pass the cap.
     synchronized (ejectionLock) {
       if (!state.isEjected(now) && mayBeEjected(state, now)) {
         state.eject(now);
@@ -153,11 +156,11 @@
   }
 
   /**
-   * Takes a target's cache events, which may be late and have gaps.
+   * Applies a target's cache events, which may be delayed and have gaps.
    *
-   * @param target that sent them
+   * @param target target that reported them
    * @param added hashes of the prefixes that it has cached
-   * @param evicted hashes of the prefixes that it dropped
+   * @param evicted hashes of the prefixes that it has evicted
    */
   public void cacheReport(String target, Collection<Long> added, Collection<Long> evicted) {
     evicted.forEach(prefix -> cacheHints.evicted(prefix, target));
@@ -165,14 +168,14 @@
   }
 
   /**
-   * Estimates when work would start that came now.
+   * Estimates when work that arrives now would start: the median over the targets that accept it.
    *
-   * @param served what the target must serve
+   * @param served name of what the target must serve
    * @param now the current time
-   * @return the estimate, or empty when no target that serves it takes work
+   * @return the estimate, or empty if no target that serves it accepts work
    */
   public Optional<Instant> estimatedStart(String served, Instant now) {
-    ServedTargets known = byServed.get(served);
+    ServedTargets known = targetsByServed.get(served);
     if (known == null) {
       return Optional.empty();
     }
@@ -189,9 +192,10 @@
   }
 
   /**
-   * The first owner of the prefix is taken to have it, since that is where it is sent. Targets that
-   * said that they have it, and the second owner, come after: were they as good, a prefix would
-   * soon be cached everywhere, and there would be room for few.
+   * Returns the targets that are likely to have the prefix cached. The first owner is assumed to
+   * have it, because requests with the prefix are sent there. Targets that reported it, and the
+   * second owner, get a miss probability: if they cost the same, each prefix would soon be cached
+   * everywhere, leaving room for few prefixes.
    */
   private List<Candidate> likelyCached(RouteQuery query, ServedTargets served) {
     if (query.prefixHash() == 0) {
@@ -203,9 +207,9 @@
         cacheHints.holders(query.prefixHash()).stream()
             .map(targets::get)
             .filter(state -> state != null && state.status().served().contains(query.served()))
-            .map(state -> new Candidate(state, HOLDER_MISSES));
+            .map(state -> new Candidate(state, HOLDER_MISS_PROBABILITY));
     Stream<Candidate> second =
-        owners.stream().skip(1).map(state -> new Candidate(state, SECOND_OWNER_MISSES));
+        owners.stream().skip(1).map(state -> new Candidate(state, SECOND_OWNER_MISS_PROBABILITY));
     return Stream.of(first, holders, second).flatMap(part -> part).toList();
   }
 
@@ -213,9 +217,9 @@
       Stream<Candidate> candidates, RouteQuery query, Instant now) {
     return candidates
         .filter(candidate -> mayTake(candidate.state(), query, now))
-        .map(candidate -> new Offer(candidate.state(), cost(candidate, query, now)))
+        .map(candidate -> new ScoredTarget(candidate.state(), cost(candidate, query, now)))
         .reduce((best, next) -> next.isClearlyCheaperThan(best) ? next : best)
-        .map(Offer::state);
+        .map(ScoredTarget::state);
   }
 
   private static boolean mayTake(TargetState state, RouteQuery query, Instant now) {
@@ -225,27 +229,27 @@
   private double cost(Candidate candidate, RouteQuery query, Instant now) {
     TargetState state = candidate.state();
     boolean otherZone = !state.status().zone().equals(query.zone());
-    double prefill = query.prefixHash() == 0 ? 0 : candidate.missShare();
+    double missProbability = query.prefixHash() == 0 ? 0 : candidate.missProbability();
     return state.costSeconds(query.estimatedTokens(), entries, now)
         + (otherZone ? options.otherZonePenaltySeconds() : 0)
-        + prefill * options.prefixSavingSeconds();
+        + missProbability * options.prefixSavingSeconds();
   }
 
   /**
-   * A fault that all targets share, such as a bad release, would else eject them all and leave
-   * nobody to serve.
+   * Checks the cap on ejections. Without it, a fault that all targets share, such as a bad release,
+   * would eject all of them.
    */
   private boolean mayBeEjected(TargetState state, Instant now) {
     return state.status().served().stream()
         .map(this::servedTargets)
-        .allMatch(served -> hasRoomForEjection(served.all(), now));
+        .allMatch(served -> isBelowEjectionCap(served.all(), now));
   }
 
-  private boolean hasRoomForEjection(List<TargetState> all, Instant now) {
-    long working = all.stream().filter(TargetState::takesWork).count();
+  private boolean isBelowEjectionCap(List<TargetState> all, Instant now) {
+    long accepting = all.stream().filter(TargetState::takesWork).count();
     long ejected = all.stream().filter(target -> target.isEjected(now)).count();
-    long most = Math.max(working > 1 ? 1 : 0, (long) (working * options.largestEjectedShare()));
-    return ejected < most;
+    long cap = Math.max(accepting > 1 ? 1 : 0, (long) (accepting * options.largestEjectedShare()));
+    return ejected < cap;
   }
 
   private static Set<String> without(Set<String> names, Set<String> others) {
@@ -255,16 +259,16 @@
   }
 
   private ServedTargets servedTargets(String served) {
-    return byServed.computeIfAbsent(served, name -> new ServedTargets());
+    return targetsByServed.computeIfAbsent(served, name -> new ServedTargets());
   }
 
   /**
    * A target that may get the work.
    *
-   * @param state of the target
-   * @param missShare how likely the prefix is not cached there, 0 to 1
+   * @param state state of the target
+   * @param missProbability probability that the prefix is not cached there, 0 to 1
    */
-  private record Candidate(TargetState state, double missShare) {
+  private record Candidate(TargetState state, double missProbability) {
     static Candidate withPrefix(TargetState state) {
       return new Candidate(state, 0);
     }
@@ -275,14 +279,15 @@
   }
 
   /**
-   * Estimates are noisy. Were the least of nearly equal ones always taken, the same targets would
-   * win each time; so the candidate that was drawn first stays unless another is clearly cheaper.
+   * A candidate with its estimated cost in seconds. Estimates are noisy: if the least of nearly
+   * equal ones always won, the same targets would be chosen each time. An earlier candidate
+   * therefore stays unless another is clearly cheaper.
    */
-  private record Offer(TargetState state, double cost) {
-    private static final double CLEARLY = 0.9;
+  private record ScoredTarget(TargetState state, double cost) {
+    private static final double CLEARLY_CHEAPER_RATIO = 0.9;
 
-    boolean isClearlyCheaperThan(Offer other) {
-      return cost < CLEARLY * other.cost;
+    boolean isClearlyCheaperThan(ScoredTarget other) {
+      return cost < CLEARLY_CHEAPER_RATIO * other.cost;
     }
   }
 }
--- a/core/src/main/java/dev/ibishub/core/RouterOptions.java
+++ b/core/src/main/java/dev/ibishub/core/RouterOptions.java
@@ -1,18 +1,18 @@
 package dev.ibishub.core;
 
 /**
- * How a {@link Router} weighs targets.
+ * Weights and thresholds of a {@link Router}.
  *
- * @param otherZonePenaltySeconds added to the estimated wait at a target of another failure domain
- * @param prefixSavingSeconds wait that is worth a cached prefix: what it saves the request and, as
- *     the target has more time, those behind it
- * @param initialTokensPerSecond rate assumed of a target that reports none
- * @param slowStartSeconds time over which a target that is new or back gets to its full share
- * @param ejectionFailures failures in a row that eject a target
- * @param ejectionSeconds time of the first ejection; it doubles with each one that follows
- * @param largestEjectedShare share of the targets of one model or service that may be ejected at
- *     the same time, 0 to 1
- * @param cachedPrefixesPerTarget cached prefixes that are remembered for each target
+ * @param otherZonePenaltySeconds added to the estimated wait at a target in another failure domain
+ * @param prefixSavingSeconds wait that a cached prefix is worth: the time that it saves the request
+ *     and, since the target is free earlier, the requests behind it
+ * @param initialTokensPerSecond rate assumed for a target that reports none
+ * @param slowStartSeconds time in which a target that is new or back ramps up to its full share
+ * @param ejectionFailures consecutive failures after which a target is ejected
+ * @param ejectionSeconds duration of the first ejection; doubles with each consecutive one
+ * @param largestEjectedShare largest share of the targets of one model or service that may be
+ *     ejected at the same time, 0 to 1
+ * @param cachedPrefixesPerTarget number of cached prefixes that are remembered for each target
  */
 public record RouterOptions(
     double otherZonePenaltySeconds,
@@ -37,12 +37,20 @@
     }
   }
 
-  /** The options that docs/MEASUREMENTS.md was measured with. */
+  /**
+   * Returns the default options: a penalty of 3 ms for another failure domain, 0.8 seconds for a
+   * cached prefix, 1,000 tokens a second, a slow start of 10 seconds, ejection after 5 failures for
+   * 5 seconds at first, of at most 0.3 of the targets, and 4,096 prefixes for each target.
+   */
   public static RouterOptions defaults() {
     return new RouterOptions(0.003, 0.8, 1000, 10, 5, 5, 0.3, 4096);
   }
 
-  /** The same options with another wait that is worth a cached prefix, seconds. */
+  /**
+   * Returns the same options with another prefix saving.
+   *
+   * @param seconds wait that a cached prefix is worth, in seconds
+   */
   public RouterOptions withPrefixSavingSeconds(double seconds) {
     return new RouterOptions(
         otherZonePenaltySeconds,
--- a/core/src/main/java/dev/ibishub/core/TargetStatus.java
+++ b/core/src/main/java/dev/ibishub/core/TargetStatus.java
@@ -5,19 +5,20 @@
 import java.util.Set;
 
 /**
- * What a target's agent reports of it.
+ * A target's load and state as reported by its agent. Used behind ibishub's own interface; on the
+ * platform of its users {@code TargetReport} takes this place.
  *
  * @param target id of the target
  * @param zone failure domain of the target
- * @param leaving whether it takes no new work
+ * @param leaving whether the target is draining and accepts no new work
  * @param reachable whether the agent reaches its engine or service
- * @param queued pieces of work that wait at the agent
- * @param running pieces of work that run
- * @param limit pieces of work that may run at the same time
- * @param queuedTokens estimate of the work that waits
- * @param tokensPerSecond rate at which the target works through tokens under load; 0 if not known
+ * @param queued number of items of work waiting at the agent
+ * @param running number of items of work running
+ * @param limit maximum number of items of work running at the same time
+ * @param queuedTokens estimated tokens of the waiting work
+ * @param tokensPerSecond rate at which the target processes tokens under load; 0 if unknown
  * @param served names of what the target serves: models, adapters and versions, or services
- * @param measuredAt when the figures were taken
+ * @param measuredAt when the figures were measured
  */
 public record TargetStatus(
     String target,
--- a/core/src/main/java/dev/ibishub/core/internal/routing/AffinityTable.java
+++ b/core/src/main/java/dev/ibishub/core/internal/routing/AffinityTable.java
@@ -7,15 +7,15 @@
 import java.util.stream.IntStream;
 
 /**
- * Which targets a prefix belongs to, best first, by rendezvous hashing over a fixed number of
- * slots: a target that comes or goes moves only the slots that it wins or held, and a lookup takes
- * one access. The second owner takes what is too much for the first, so that the overflow of a
- * prefix meets a warm cache too. Immutable.
+ * Assignment of prompt prefixes to target owners by rendezvous hashing over a fixed number of
+ * slots. A target that is added or removed moves only the slots that it wins or held, and a lookup
+ * is one list access. Each slot has a second owner for the load that exceeds the first one's
+ * capacity, so that this overflow finds a warm cache too. Immutable.
  */
 final class AffinityTable {
   static final AffinityTable EMPTY = new AffinityTable(List.of());
   private static final int SLOTS = 1024;
-  private static final int OWNERS = 2;
+  private static final int OWNERS_PER_SLOT = 2;
 
   private final List<List<TargetState>> ownersBySlot;
 
@@ -27,14 +27,14 @@
     return new AffinityTable(IntStream.range(0, SLOTS).mapToObj(ownersOfSlot).toList());
   }
 
-  /** A table in which one more target takes the slots that it wins. */
+  /** Returns a table in which an added target takes the slots that it wins. */
   AffinityTable with(TargetState target) {
     return ownersBySlot.isEmpty()
         ? build(slot -> List.of(target))
         : build(slot -> best(slot, append(ownersBySlot.get(slot), target)));
   }
 
-  /** A table in which the slots of one target fall to the others. */
+  /** Returns a table in which the slots of a removed target go to the others. */
   AffinityTable without(TargetState target, List<TargetState> others) {
     if (others.isEmpty()) {
       return EMPTY;
@@ -46,7 +46,7 @@
         });
   }
 
-  /** The owners of a prefix, best first; none in an empty table. */
+  /** Returns the owners of a prefix, best first; empty for an empty table. */
   List<TargetState> owners(long prefixHash) {
     return ownersBySlot.isEmpty()
         ? List.of()
@@ -62,7 +62,7 @@
   private static List<TargetState> best(int slot, List<TargetState> targets) {
     return targets.stream()
         .sorted(Comparator.comparingLong((TargetState target) -> score(slot, target)).reversed())
-        .limit(OWNERS)
+        .limit(OWNERS_PER_SLOT)
         .toList();
   }
 
--- a/core/src/main/java/dev/ibishub/core/internal/routing/CacheHints.java
+++ b/core/src/main/java/dev/ibishub/core/internal/routing/CacheHints.java
@@ -7,37 +7,40 @@
 import java.util.stream.Stream;
 
 /**
- * Which targets are believed to hold a cached prefix. Cache events come late and with gaps, so this
- * is only a hint: a wrong one costs a prefill, never an answer. Bounded: the prefix that was
- * reported longest ago is dropped first. Thread-safe in shards, each under its own lock.
+ * Hints about which targets have a prefix cached. Cache events are delayed and have gaps, so a hint
+ * may be wrong, which costs a prefill but never a wrong answer. Bounded: the prefix whose last
+ * report is oldest is evicted first. Thread-safe: prefixes are spread over shards, each under its
+ * own lock.
  */
 public final class CacheHints {
   private static final int SHARDS = 16;
-  private static final int MOST_HOLDERS = 4;
+  private static final int MAXIMUM_HOLDERS = 4;
 
   private final List<Shard> shards;
 
   private CacheHints(int capacity) {
-    int each = Math.max(1, capacity / SHARDS);
-    shards = IntStream.range(0, SHARDS).mapToObj(number -> new Shard(each)).toList();
+    int capacityPerShard = Math.max(1, capacity / SHARDS);
+    shards = IntStream.range(0, SHARDS).mapToObj(number -> new Shard(capacityPerShard)).toList();
   }
 
-  /** Creates hints for at most about the given number of prefixes. */
+  /** Creates an empty table of hints for about the given number of prefixes at most. */
   public static CacheHints withCapacity(int capacity) {
     return new CacheHints(capacity);
   }
 
-  /** Notes that a target holds a prefix. */
+  /** Records that a target has a prefix cached. */
   public void added(long prefixHash, String target) {
     shard(prefixHash).added(prefixHash, target);
   }
 
-  /** Notes that a target no longer holds a prefix. */
+  /** Records that a target no longer has a prefix cached. */
   public void evicted(long prefixHash, String target) {
     shard(prefixHash).evicted(prefixHash, target);
   }
 
-  /** The targets that are believed to hold a prefix, newest first. */
+  /**
+   * Returns the targets that have a prefix cached according to their reports, last reported first.
+   */
   public List<String> holders(long prefixHash) {
     return shard(prefixHash).holders(prefixHash);
   }
@@ -63,7 +66,8 @@
 
     synchronized void added(long prefixHash, String target) {
       Stream<String> others = holders(prefixHash).stream().filter(holder -> !holder.equals(target));
-      List<String> changed = Stream.concat(Stream.of(target), others).limit(MOST_HOLDERS).toList();
+      List<String> changed =
+          Stream.concat(Stream.of(target), others).limit(MAXIMUM_HOLDERS).toList();
       holders.remove(prefixHash);
       holders.put(prefixHash, changed);
     }
--- a/core/src/main/java/dev/ibishub/core/internal/routing/ServedTargets.java
+++ b/core/src/main/java/dev/ibishub/core/internal/routing/ServedTargets.java
@@ -8,14 +8,14 @@
 
 /**
  * The targets that serve one model, adapter, version or service. Thread-safe: readers see an
- * immutable view, writers take the lock.
+ * immutable snapshot, writers take a lock.
  */
 public final class ServedTargets {
-  private static final int MOST_SAMPLED = 64;
+  private static final int MAXIMUM_SAMPLE = 64;
 
   private volatile View view = new View(List.of(), AffinityTable.EMPTY);
 
-  /** Adds a target unless it is there. */
+  /** Adds a target; no effect if it is present. */
   public synchronized void add(TargetState target) {
     if (view.targets.contains(target)) {
       return;
@@ -25,7 +25,7 @@
     view = new View(List.copyOf(targets), view.affinity.with(target));
   }
 
-  /** Removes a target if it is there. */
+  /** Removes a target; no effect if it is absent. */
   public synchronized void remove(TargetState target) {
     if (!view.targets.contains(target)) {
       return;
@@ -34,17 +34,20 @@
     view = new View(others, view.affinity.without(target, others));
   }
 
-  /** All targets. */
+  /** Returns all targets. */
   public List<TargetState> all() {
     return view.targets;
   }
 
-  /** The targets that a prefix belongs to, best first. */
+  /** Returns the targets that own a prefix, best first. */
   public List<TargetState> owners(long prefixHash) {
     return view.affinity.owners(prefixHash);
   }
 
-  /** Two targets, drawn independently; the same one may come twice. */
+  /**
+   * Returns two targets drawn independently at random, so that they may be the same one; empty if
+   * there are none.
+   */
   public Stream<TargetState> twoAtRandom(RandomGenerator random) {
     List<TargetState> targets = view.targets;
     return targets.isEmpty()
@@ -52,12 +55,12 @@
         : random.ints(2, 0, targets.size()).mapToObj(targets::get);
   }
 
-  /** The targets, or so many of them, evenly spread, that a decision stays cheap. */
+  /** Returns up to 64 targets, evenly spread over the list, to bound the cost of a decision. */
   public Stream<TargetState> sample() {
     List<TargetState> targets = view.targets;
-    int count = Math.min(MOST_SAMPLED, targets.size());
+    int count = Math.min(MAXIMUM_SAMPLE, targets.size());
     int[] indexes = new int[count];
-    Arrays.setAll(indexes, at -> (int) ((long) at * targets.size() / count));
+    Arrays.setAll(indexes, index -> (int) ((long) index * targets.size() / count));
     return Arrays.stream(indexes).mapToObj(targets::get);
   }
 
--- a/core/src/main/java/dev/ibishub/core/internal/routing/TargetState.java
+++ b/core/src/main/java/dev/ibishub/core/internal/routing/TargetState.java
@@ -6,27 +6,38 @@
 import java.time.Instant;
 import java.util.Set;
 
-/** What an entry knows of one target. Thread-safe by one lock for each target. */
+/**
+ * What an entry knows of one target for routing: its last report, this entry's dispatches since,
+ * and its failures. Used behind ibishub's own interface; on the platform of its users {@code
+ * TargetLoad} does this. Thread-safe by one lock for each target.
+ */
 public final class TargetState {
-  private static final double SIZE_SMOOTHING = 0.05;
-  private static final double SMALLEST_RAMP = 0.1;
-  private static final double OLDEST_REPORT_SECONDS = 5;
+  /** Weight of a new sample in the moving average of tokens per item. */
+  private static final double MEAN_TOKENS_SMOOTHING = 0.05;
+
+  private static final double MINIMUM_RAMP = 0.1;
+  private static final double MAXIMUM_REPORT_AGE_SECONDS = 5;
+
+  /** Wait from which {@link #quantizeLongWait} rounds. */
   private static final double LONG_WAIT_SECONDS = 0.2;
-  private static final double LONG_WAIT_STEP = Math.log(1.5);
-  private static final int MOST_DOUBLINGS = 6;
+
+  /** Width of a step on a logarithmic scale: each step is 1.5 times the one before. */
+  private static final double LONG_WAIT_LOG_STEP = Math.log(1.5);
+
+  private static final int MAXIMUM_DOUBLINGS = 6;
 
   private final String target;
   private final long hash;
   private final RouterOptions options;
-  private final SentWork sent = new SentWork();
+  private final UnreportedDispatches unreported = new UnreportedDispatches();
   private TargetStatus status;
   private Instant slowStartFrom;
   private Instant ejectedUntil = Instant.MIN;
   private double meanTokens;
-  private int failuresInARow;
+  private int consecutiveFailures;
   private int ejections;
 
-  /** Creates the state of a target that has not reported yet and gets no work. */
+  /** Creates the state of a target that has not reported yet and is not eligible for work. */
   public TargetState(String target, RouterOptions options, Instant now) {
     this.target = target;
     this.hash = Hashing.komihash5_0().hashCharsToLong(target);
@@ -40,33 +51,35 @@
     return target;
   }
 
-  /** Hash of the target's id. */
+  /** Returns the hash of the target's id. */
   long hash() {
     return hash;
   }
 
-  /** The newest report. */
+  /** Returns the latest report. */
   public synchronized TargetStatus status() {
     return status;
   }
 
-  /** Takes a report unless it is older than the last one. */
+  /** Applies a report unless it is older than the last one. */
   public synchronized void report(TargetStatus newer, Instant now) {
     if (newer.measuredAt().isBefore(status.measuredAt())) {
       return;
     }
-    boolean isBack = accepts(newer) && !accepts(status);
+    boolean becameAvailable = accepts(newer) && !accepts(status);
     status = newer;
-    slowStartFrom = isBack ? now : slowStartFrom;
-    sent.forgetUntil(newer.measuredAt());
+    slowStartFrom = becameAvailable ? now : slowStartFrom;
+    unreported.removeUntil(newer.measuredAt());
   }
 
+  /** Records a dispatch to the target with its estimated tokens. */
   public synchronized void sent(double tokens, Instant now) {
-    meanTokens = meanTokens == 0 ? tokens : meanTokens + SIZE_SMOOTHING * (tokens - meanTokens);
-    sent.add(now);
+    meanTokens =
+        meanTokens == 0 ? tokens : meanTokens + MEAN_TOKENS_SMOOTHING * (tokens - meanTokens);
+    unreported.add(now);
   }
 
-  /** Whether the target may get work. */
+  /** Returns whether the target may get work: it accepts work and is not ejected. */
   public synchronized boolean isEligible(Instant now) {
     return accepts(status) && !isEjected(now);
   }
@@ -75,64 +88,71 @@
     return ejectedUntil.isAfter(now);
   }
 
-  /** Whether the target says that it takes work, ejected or not. */
+  /**
+   * Returns whether the target accepts work according to its last report, also while it is ejected.
+   */
   public synchronized boolean takesWork() {
     return accepts(status);
   }
 
-  /** Notes the end of an attempt; returns whether the target should be ejected. */
+  /** Records the end of an attempt; returns whether the target should be ejected. */
   public synchronized boolean finished(boolean failed) {
     if (!failed) {
-      failuresInARow = 0;
+      consecutiveFailures = 0;
       ejections = 0;
       return false;
     }
-    failuresInARow++;
-    return failuresInARow >= options.ejectionFailures();
+    consecutiveFailures++;
+    return consecutiveFailures >= options.ejectionFailures();
   }
 
-  /** Ejects the target, for twice as long as the last time; it comes back with a slow start. */
+  /**
+   * Ejects the target for twice as long as the last time, up to 64 times as long as the first; a
+   * slow start follows. Until an attempt succeeds, one more failure ejects the target again.
+   * Success resets the time.
+   */
   public synchronized void eject(Instant now) {
-    double seconds = options.ejectionSeconds() * (1 << Math.min(ejections, MOST_DOUBLINGS));
+    double seconds = options.ejectionSeconds() * (1 << Math.min(ejections, MAXIMUM_DOUBLINGS));
     ejections++;
     ejectedUntil = Seconds.after(now, seconds);
     slowStartFrom = ejectedUntil;
-    failuresInARow = options.ejectionFailures() - 1;
+    consecutiveFailures = options.ejectionFailures() - 1;
   }
 
-  /** Estimated seconds until the target starts work that is sent now. */
+  /** Returns the estimated seconds until the target would start work that is sent now. */
   public synchronized double waitSeconds(int entries, Instant now) {
     return waitFor(outstanding(entries, now));
   }
 
   /**
-   * Estimated cost in seconds of sending work now: the wait, and the share of the target's time
-   * that the work takes, which grows with what runs beside it. A target in its slow start looks
-   * dearer than it is.
+   * Returns the estimated cost in seconds of sending work now: the wait, plus the target's time
+   * that the work takes, which grows with the work running beside it. During slow start the cost is
+   * raised, so that the target gets less work.
    */
   public synchronized double costSeconds(double tokens, int entries, Instant now) {
     double outstanding = outstanding(entries, now);
-    double busy = Math.min(1, outstanding / limit());
-    double own = tokens / tokensPerSecond();
-    return (rounded(waitFor(outstanding)) + own * (1 + busy)) / ramp(now);
+    double utilization = Math.min(1, outstanding / limit());
+    double serviceSeconds = tokens / tokensPerSecond();
+    return (quantizeLongWait(waitFor(outstanding)) + serviceSeconds * (1 + utilization))
+        / ramp(now);
   }
 
   /**
-   * Pieces of work at the target now: those of the report, less what has ended since, and what was
-   * sent since. The other entries are taken to have sent as much each as this one: they see the
-   * same reports, so what draws this entry to a target draws them too.
+   * Estimates the items of work at the target now: those in its report, less those that have ended
+   * since, plus those sent since. Each of the other entries is assumed to have sent as many as this
+   * one, since they all see the same reports and choose alike.
    */
   private double outstanding(int entries, Instant now) {
     double atReport = status.running() + status.queued();
-    double fill = Math.min(1, atReport / limit());
-    double ended = ageSeconds(now) * fill * tokensPerSecond() / meanTokens();
-    return Math.max(0, atReport - ended + entries * sent.count());
+    double utilization = Math.min(1, atReport / limit());
+    double ended = ageSeconds(now) * utilization * tokensPerSecond() / meanTokens();
+    return Math.max(0, atReport - ended + entries * unreported.count());
   }
 
   private double waitFor(double outstanding) {
     double waiting = Math.max(0, outstanding - limit());
-    double more = (waiting - status.queued()) * meanTokens();
-    return waiting == 0 ? 0 : Math.max(0, status.queuedTokens() + more) / tokensPerSecond();
+    double moreTokens = (waiting - status.queued()) * meanTokens();
+    return waiting == 0 ? 0 : Math.max(0, status.queuedTokens() + moreTokens) / tokensPerSecond();
   }
 
   private int limit() {
@@ -147,14 +167,15 @@
   }
 
   /**
-   * Long waits that differ little count as equal. All targets are full then, the difference is
-   * older than the report that showed it, and to follow it sends the work of every entry, and so
-   * the urgent work that does not wait at all, to the same few targets.
+   * Rounds long waits to steps, so that similar ones count as equal. When waits are long, all
+   * targets are full and small differences are older than the reports that showed them. Following
+   * them would send the work of every entry, and with it the urgent work that does not wait at all,
+   * to the same few targets.
    */
-  private static double rounded(double wait) {
+  private static double quantizeLongWait(double wait) {
     return wait < LONG_WAIT_SECONDS
         ? wait
-        : Math.exp(Math.floor(Math.log(wait) / LONG_WAIT_STEP) * LONG_WAIT_STEP);
+        : Math.exp(Math.floor(Math.log(wait) / LONG_WAIT_LOG_STEP) * LONG_WAIT_LOG_STEP);
   }
 
   private double tokensPerSecond() {
@@ -163,18 +184,20 @@
         : options.initialTokensPerSecond();
   }
 
-  /** Bounded, so that a clock that is off by more than that does bounded harm. */
+  /**
+   * Returns the age of the last report, bounded so that an error of the clock has a bounded effect.
+   */
   private double ageSeconds(Instant now) {
     double age = Seconds.between(status.measuredAt(), now);
-    return Math.max(0, Math.min(OLDEST_REPORT_SECONDS, age));
+    return Math.max(0, Math.min(MAXIMUM_REPORT_AGE_SECONDS, age));
   }
 
   private double ramp(Instant now) {
     if (options.slowStartSeconds() == 0) {
       return 1;
     }
-    double done = Seconds.between(slowStartFrom, now) / options.slowStartSeconds();
-    return Math.max(SMALLEST_RAMP, Math.min(1, done));
+    double elapsedShare = Seconds.between(slowStartFrom, now) / options.slowStartSeconds();
+    return Math.max(MINIMUM_RAMP, Math.min(1, elapsedShare));
   }
 
   private static boolean accepts(TargetStatus status) {
--- a/core/src/main/java/dev/ibishub/core/internal/routing/SentWork.java
+++ b/core/src/main/java/dev/ibishub/core/internal/routing/UnreportedDispatches.java
@@ -3,16 +3,19 @@
 import java.time.Instant;
 import java.util.ArrayDeque;
 
-/** When this entry sent work to a target that its last report does not show. Not thread-safe. */
-final class SentWork {
+/**
+ * The times of dispatches from this entry to one target that the target's last report does not
+ * include. Not thread-safe.
+ */
+final class UnreportedDispatches {
   private final ArrayDeque<Instant> sentAt = new ArrayDeque<>();
 
   void add(Instant at) {
     sentAt.addLast(at);
   }
 
-  /** Forgets what a report that was measured at the given time has counted. */
-  void forgetUntil(Instant measuredAt) {
+  /** Removes the dispatches that a report measured at the given time includes. */
+  void removeUntil(Instant measuredAt) {
     while (!sentAt.isEmpty() && !sentAt.peekFirst().isAfter(measuredAt)) {
       sentAt.pollFirst();
     }
--- a/core/src/test/java/dev/ibishub/core/RouterTest.java
+++ b/core/src/test/java/dev/ibishub/core/RouterTest.java
@@ -18,11 +18,12 @@
   private final Random random = new Random(7);
 
   /**
-   * Time to first token jumps every second: all entries send everything to the one target that
-   * looked idle in the last report, until the next report shows it full and another one idle.
+   * Guards against herding: all entries send all work to the one target that was idle in the last
+   * report, until the next report shows it full and another one idle. The time to first token then
+   * jumps with every report.
    */
   @Test
-  void staleReportDoesNotDrawAllWorkToOneTarget() {
+  void spreadsWorkDespiteStaleReportOfIdleTarget() {
     reportAll(50, 5000);
     router.report(status("target-0", 0, 0, false), NOW);
 
@@ -35,54 +36,57 @@
     assertThat(toIdle).isLessThan(100);
   }
 
-  /** A request is refused in the middle of the nightly upgrade, since its target was leaving. */
+  /**
+   * Guards against requests that are refused because their target is leaving, for example during an
+   * upgrade.
+   */
   @Test
-  void leavingTargetIsNotChosen() {
+  void doesNotChooseLeavingTarget() {
     reportAll(0, 0);
     router.report(status("target-0", 0, 0, true), NOW);
 
-    assertThat(chosen(100)).doesNotContain("target-0");
+    assertThat(chosenTargets(100)).doesNotContain("target-0");
   }
 
-  /** A late report of a leaving target, measured before it left, must not bring work back. */
+  /**
+   * A delayed report that was measured before the target began to leave must not make it eligible
+   * again.
+   */
   @Test
-  void olderReportDoesNotUndoLeaving() {
+  void keepsTargetLeavingAfterOlderReport() {
     reportAll(0, 0);
     router.report(status("target-0", 0, 0, true), NOW);
     TargetStatus older = status("target-0", 0, 0, false);
-    router.report(at(older, NOW.minusSeconds(1)), NOW);
+    router.report(measuredAt(older, NOW.minusSeconds(1)), NOW);
 
-    assertThat(chosen(100)).doesNotContain("target-0");
+    assertThat(chosenTargets(100)).doesNotContain("target-0");
   }
 
   /**
-   * Every tenth request waits and fails although nine targets are well: the tenth is dead, its last
-   * report says that it is idle, and no failure counts against it.
+   * Guards against a dead target whose last report says idle and whose failures are not counted: it
+   * would keep getting its share of the requests, and all of these would fail.
    */
   @Test
-  void targetThatFailsIsEjectedAndComesBack() {
+  void ejectsFailingTargetAndReadmitsItLater() {
     reportAll(0, 0);
-    fail("target-0", 5);
+    failAttempts("target-0", 5);
 
-    assertThat(chosen(100)).doesNotContain("target-0");
+    assertThat(chosenTargets(100)).doesNotContain("target-0");
     Instant later = NOW.plusSeconds(30);
-    assertThat(chosenAt(200, later)).contains("target-0");
+    assertThat(chosenTargetsAt(200, later)).contains("target-0");
   }
 
-  /**
-   * Nobody gets an answer although only one release is bad: every target failed a few requests of
-   * it, all were ejected, and no target was left.
-   */
+  /** Guards against ejecting every target for a fault that all share, such as a bad release. */
   @Test
-  void noMoreThanTheCapIsEjected() {
+  void ejectsNoMoreTargetsThanCap() {
     reportAll(0, 0);
-    IntStream.range(0, TARGETS).forEach(number -> fail("target-" + number, 5));
+    IntStream.range(0, TARGETS).forEach(number -> failAttempts("target-" + number, 5));
 
-    assertThat(chosen(300)).hasSize(TARGETS - 3);
+    assertThat(chosenTargets(300)).hasSize(TARGETS - 3);
   }
 
   @Test
-  void dataOfPrefixDrawsRequestsToItsHolder() {
+  void choosesTargetThatReportedPrefix() {
     reportAll(0, 0);
     router.cacheReport("target-4", List.of(99L), List.of());
 
@@ -90,7 +94,7 @@
   }
 
   @Test
-  void holderThatIsFullLosesItsPrefix() {
+  void doesNotChooseFullTargetThatReportedPrefix() {
     reportAll(0, 0);
     router.cacheReport("target-4", List.of(99L), List.of());
     router.report(status("target-4", 50, 50_000, false), NOW);
@@ -99,14 +103,14 @@
   }
 
   @Test
-  void excludedTargetIsNotChosenEvenAsTheOnlyOne() {
+  void doesNotChooseExcludedTargetEvenIfItIsTheOnlyOne() {
     router.report(status("target-0", 0, 0, false), NOW);
 
     assertThat(router.choose(query(0, Set.of("target-0")), NOW, random)).isEmpty();
   }
 
   @Test
-  void targetThatNoLongerServesIsNotChosen() {
+  void doesNotChooseTargetThatNoLongerServesModel() {
     router.report(status("target-0", 0, 0, false), NOW);
     TargetStatus other =
         new TargetStatus("target-0", "zone", false, true, 0, 0, 10, 0, 1000, Set.of("other"), NOW);
@@ -121,7 +125,7 @@
             number -> router.report(status("target-" + number, queued, queuedTokens, false), NOW));
   }
 
-  private void fail(String target, int times) {
+  private void failAttempts(String target, int times) {
     IntStream.range(0, times).forEach(number -> router.finished(target, 0, true, NOW, NOW));
   }
 
@@ -131,11 +135,11 @@
     return target;
   }
 
-  private Set<String> chosen(int times) {
-    return chosenAt(times, NOW);
+  private Set<String> chosenTargets(int times) {
+    return chosenTargetsAt(times, NOW);
   }
 
-  private Set<String> chosenAt(int times, Instant now) {
+  private Set<String> chosenTargetsAt(int times, Instant now) {
     return IntStream.range(0, times)
         .mapToObj(number -> router.choose(query(0, Set.of()), now, random).orElseThrow())
         .collect(Collectors.toSet());
@@ -161,7 +165,7 @@
         NOW);
   }
 
-  private static TargetStatus at(TargetStatus status, Instant measuredAt) {
+  private static TargetStatus measuredAt(TargetStatus status, Instant measuredAt) {
     return new TargetStatus(
         status.target(),
         status.zone(),
