--- a/core/src/main/java/dev/ibishub/core/ConcurrencyLimit.java
+++ b/core/src/main/java/dev/ibishub/core/ConcurrencyLimit.java
@@ -5,14 +5,24 @@
 import java.util.Objects;
 
 /**
- * How much work one target runs at the same time, adapted to the time per token that it shows: the
- * limit grows while that time is good and the limit is used, and falls in proportion once it is
- * not. Thread-safe by one lock.
+ * Adaptive limit on the work that one target runs concurrently, controlled by the time per token:
+ * the limit grows while that time is acceptable and the limit is used, and falls in proportion to
+ * the excess otherwise. Thread-safe by one lock.
  */
 public final class ConcurrencyLimit {
+  /** Weight of a new sample in the moving average of seconds per token. */
   private static final double SMOOTHING = 0.1;
+
+  /** Fraction of the distance to a slower sample by which the best time per token rises. */
   private static final double BASELINE_DRIFT = 0.001;
-  private static final double LARGEST_FALL = 0.5;
+
+  /**
+   * Smallest factor by which one sample may reduce the goal for the limit, also used after a
+   * failure.
+   */
+  private static final double MINIMUM_GRADIENT = 0.5;
+
+  /** Fraction of the distance to the goal by which the limit moves for one sample. */
   private static final double LIMIT_SMOOTHING = 0.2;
 
   private final ConcurrencyLimitOptions options;
@@ -31,20 +41,20 @@
     return new ConcurrencyLimit(options);
   }
 
-  /** Pieces of work that may run at the same time. */
+  /** Returns the number of items of work that may run concurrently. */
   public synchronized int limit() {
     return (int) limit;
   }
 
-  /** Pieces of work that run. */
+  /** Returns the number of items of work that are running. */
   public synchronized int running() {
     return running;
   }
 
   /**
-   * Takes a place. Whoever gets one gives it back by {@link #release}.
+   * Acquires a permit, which must be returned by {@link #release}.
    *
-   * @return false when the limit is reached
+   * @return false if the limit is reached
    */
   public synchronized boolean tryAcquire() {
     if (running >= (int) limit) {
@@ -55,10 +65,10 @@
   }
 
   /**
-   * Takes a place for urgent work, which may use a few places above the limit. A workspace that
-   * uses less than its share then need not wait for a long answer of another to end.
+   * Acquires a permit for urgent work, which may use a few reserved permits above the limit. A
+   * workspace that uses less than its share then need not wait for a long answer of another to end.
    *
-   * @return false when those places are taken too
+   * @return false if the reserved permits are in use too
    */
   public synchronized boolean tryAcquireReserved() {
     if (running >= (int) limit + options.reserved()) {
@@ -69,58 +79,62 @@
   }
 
   /**
-   * Gives a place back and learns from the work that had it.
+   * Returns a permit and adapts the limit to the work that held it.
    *
-   * @param sample what the work took
+   * @param sample duration and tokens of that work
    */
   public synchronized void release(Sample sample) {
     boolean limitWasUsed = 2 * running >= limit;
     running = Math.max(0, running - 1);
     if (sample.failed()) {
-      moveTo(limit * LARGEST_FALL);
+      moveTowards(limit * MINIMUM_GRADIENT);
       return;
     }
     if (sample.tokens() <= 0) {
       return;
     }
-    learn(sample.secondsPerToken());
-    double good =
+    updateEstimates(sample.secondsPerToken());
+    double acceptable =
         Math.max(options.targetSecondsPerToken(), options.tolerance() * bestSecondsPerToken);
-    double gradient = Math.max(LARGEST_FALL, Math.min(1, good / secondsPerToken));
+    double gradient = Math.max(MINIMUM_GRADIENT, Math.min(1, acceptable / secondsPerToken));
     if (gradient < 1) {
-      moveTo(limit * gradient);
+      moveTowards(limit * gradient);
     } else if (limitWasUsed) {
-      moveTo(limit + Math.sqrt(limit));
+      moveTowards(limit + Math.sqrt(limit));
     }
   }
 
-  private void learn(double sampled) {
+  private void updateEstimates(double sampledSecondsPerToken) {
     if (secondsPerToken == 0) {
-      secondsPerToken = sampled;
-      bestSecondsPerToken = sampled;
+      secondsPerToken = sampledSecondsPerToken;
+      bestSecondsPerToken = sampledSecondsPerToken;
       return;
     }
-    secondsPerToken += SMOOTHING * (sampled - secondsPerToken);
-    // The best time drifts up, or else a target that got slower for good is throttled for ever.
+    secondsPerToken += SMOOTHING * (sampledSecondsPerToken - secondsPerToken);
+    // The best time drifts up; otherwise a target that has become slower for good would be
+    // throttled for ever.
     bestSecondsPerToken =
-        Math.min(sampled, bestSecondsPerToken + BASELINE_DRIFT * (sampled - bestSecondsPerToken));
+        Math.min(
+            sampledSecondsPerToken,
+            bestSecondsPerToken + BASELINE_DRIFT * (sampledSecondsPerToken - bestSecondsPerToken));
   }
 
-  private void moveTo(double aim) {
-    double moved = limit + LIMIT_SMOOTHING * (aim - limit);
+  private void moveTowards(double goal) {
+    double moved = limit + LIMIT_SMOOTHING * (goal - limit);
     limit = Math.max(options.minimum(), Math.min(options.maximum(), moved));
   }
 
   /**
-   * What one piece of work took at the target.
+   * Duration and size of one item of work at the target.
    *
-   * @param startedAt when the target got it
+   * @param startedAt when the target received it
    * @param finishedAt when it ended
-   * @param tokens that it produced; 1 for a call of a plain service, 0 to learn nothing from it
-   * @param failed whether the target failed it by a timeout or because it was overloaded
+   * @param tokens tokens that it produced; 1 for a call of a plain service, 0 to leave the limit as
+   *     it is
+   * @param failed whether it failed by a timeout or because the target was overloaded
    */
   public record Sample(Instant startedAt, Instant finishedAt, double tokens, boolean failed) {
-    /** Checks that the times are given. */
+    /** Checks that the times are not null. */
     public Sample {
       Objects.requireNonNull(startedAt, "startedAt");
       Objects.requireNonNull(finishedAt, "finishedAt");
--- a/core/src/main/java/dev/ibishub/core/ConcurrencyLimitOptions.java
+++ b/core/src/main/java/dev/ibishub/core/ConcurrencyLimitOptions.java
@@ -1,16 +1,16 @@
 package dev.ibishub.core;
 
 /**
- * Bounds and aim of a {@link ConcurrencyLimit}.
+ * Bounds and target latency of a {@link ConcurrencyLimit}.
  *
- * @param minimum the limit never falls below it, at least 1
- * @param initial the limit at the start
- * @param maximum the limit never grows above it
- * @param targetSecondsPerToken time per token that is always good enough; zero where the only
- *     measure is the target's own best time
- * @param tolerance how many times its own best time per token a target may take before the limit
+ * @param minimum lowest limit, at least 1
+ * @param initial limit at the start
+ * @param maximum highest limit
+ * @param targetSecondsPerToken time per token that is always acceptable; zero to compare with the
+ *     target's own best time only
+ * @param tolerance multiple of its own best time per token that a target may take before the limit
  *     falls, at least 1
- * @param reserved places above the limit that only urgent work may take
+ * @param reserved number of permits above the limit that only urgent work may acquire
  */
 public record ConcurrencyLimitOptions(
     int minimum,
@@ -33,7 +33,10 @@
     }
   }
 
-  /** Options for a model engine whose callers accept 27 ms between tokens. */
+  /**
+   * Returns the options for a model engine whose callers accept 27 ms between tokens: a limit of 16
+   * at the start and from 2 to 256 later, 25 ms a token, a tolerance of 2 and 6 reserved permits.
+   */
   public static ConcurrencyLimitOptions defaults() {
     return new ConcurrencyLimitOptions(2, 16, 256, 0.025, 2, 6);
   }
--- a/core/src/test/java/dev/ibishub/core/ConcurrencyLimitTest.java
+++ b/core/src/test/java/dev/ibishub/core/ConcurrencyLimitTest.java
@@ -14,7 +14,7 @@
       ConcurrencyLimit.create(new ConcurrencyLimitOptions(2, 4, 8, 0.025, 2, 1));
 
   @Test
-  void onlyUrgentWorkTakesReservedPlaces() {
+  void givesReservedPermitsToUrgentWorkOnly() {
     IntStream.range(0, 4).forEach(number -> limit.tryAcquire());
 
     assertThat(limit.tryAcquire()).isFalse();
@@ -23,22 +23,22 @@
   }
 
   @Test
-  void growsWhileTokensComeFastAndTheLimitIsUsed() {
-    IntStream.range(0, 100).forEach(number -> runFull(0.010));
+  void growsWhileTokensAreFastAndLimitIsUsed() {
+    IntStream.range(0, 100).forEach(number -> runUpToLimit(0.010));
 
     assertThat(limit.limit()).isEqualTo(8);
   }
 
   @Test
-  void fallsToTheMinimumWhileTokensComeSlowly() {
-    runFull(0.010);
-    IntStream.range(0, 100).forEach(number -> runFull(0.200));
+  void fallsToMinimumWhileTokensAreSlow() {
+    runUpToLimit(0.010);
+    IntStream.range(0, 100).forEach(number -> runUpToLimit(0.200));
 
     assertThat(limit.limit()).isEqualTo(2);
   }
 
   @Test
-  void staysWhenItIsHardlyUsed() {
+  void staysUnchangedWhileHardlyUsed() {
     IntStream.range(0, 100)
         .forEach(
             number -> {
@@ -49,7 +49,7 @@
     assertThat(limit.limit()).isEqualTo(4);
   }
 
-  private void runFull(double secondsPerToken) {
+  private void runUpToLimit(double secondsPerToken) {
     int started = (int) IntStream.range(0, 8).takeWhile(number -> limit.tryAcquire()).count();
     IntStream.range(0, started).forEach(number -> limit.release(sample(secondsPerToken)));
   }
