--- a/core/src/main/java/dev/ibishub/core/RetryBudget.java
+++ b/core/src/main/java/dev/ibishub/core/RetryBudget.java
@@ -4,12 +4,15 @@
 import java.time.Instant;
 
 /**
- * Bounds retries to a share of the requests, so that a fault does not multiply the load that caused
- * it. A small number of retries is always allowed, or else a quiet entry could never retry.
- * Thread-safe by one lock.
+ * Limits retries to a share of the requests, so that a fault does not multiply the load that caused
+ * it. In addition, retries at a small fixed rate are allowed, since an entry with few requests
+ * could otherwise never retry. Used behind ibishub's own interface, for one entry alone; on the
+ * platform of its users {@code SharedRetryBudget} does this for all entries together. Thread-safe
+ * by one lock.
  */
 public final class RetryBudget {
-  private static final double LARGEST_BALANCE = 100;
+  /** The most retries that can be saved up. */
+  private static final double MAXIMUM_BALANCE = 100;
 
   private final double retriesPerRequest;
   private final double retriesPerSecond;
@@ -23,10 +26,10 @@
   }
 
   /**
-   * Creates a budget.
+   * Creates a budget that allows one retry at once.
    *
-   * @param retriesPerRequest share of retries that each request earns, 0 to 1
-   * @param retriesPerSecond retries that are earned without requests
+   * @param retriesPerRequest retries earned by each request, 0 to 1
+   * @param retriesPerSecond retries earned by time alone
    */
   public static RetryBudget create(double retriesPerRequest, double retriesPerSecond) {
     if (!(retriesPerRequest >= 0 && retriesPerRequest <= 1) || !(retriesPerSecond >= 0)) {
@@ -37,21 +40,21 @@
     return new RetryBudget(retriesPerRequest, retriesPerSecond);
   }
 
-  /** Creates a budget of one retry in ten requests and one in ten seconds. */
+  /** Creates a budget of one retry for every ten requests plus one every ten seconds. */
   public static RetryBudget defaults() {
     return create(0.1, 0.1);
   }
 
-  /** Counts a first attempt. */
+  /** Counts a first attempt, which earns a part of a retry. */
   public synchronized void onRequest() {
-    balance = Math.min(LARGEST_BALANCE, balance + retriesPerRequest);
+    balance = Math.min(MAXIMUM_BALANCE, balance + retriesPerRequest);
   }
 
   /**
    * Takes a retry from the budget.
    *
    * @param now the current time
-   * @return false when the budget is used up; the request then ends with its last result
+   * @return false if the budget is used up; the request then ends with its last result
    */
   public synchronized boolean tryRetry(Instant now) {
     refill(now);
@@ -67,7 +70,7 @@
       refilledAt = now;
     }
     double seconds = Math.max(0, Duration.between(refilledAt, now).toNanos() / 1e9);
-    balance = Math.min(LARGEST_BALANCE, balance + seconds * retriesPerSecond);
+    balance = Math.min(MAXIMUM_BALANCE, balance + seconds * retriesPerSecond);
     refilledAt = now.isAfter(refilledAt) ? now : refilledAt;
   }
 }
--- a/core/src/test/java/dev/ibishub/core/RetryBudgetTest.java
+++ b/core/src/test/java/dev/ibishub/core/RetryBudgetTest.java
@@ -10,11 +10,11 @@
   private static final Instant NOW = Instant.parse("2026-12-02T00:00:00Z");
 
   /**
-   * A short fault does not end: every failed attempt is tried again, so the targets get several
-   * times the load that they failed under.
+   * Guards against a retry storm: if every failed attempt is retried, a short fault does not end,
+   * because the targets get several times the load under which they failed.
    */
   @Test
-  void retriesAreBoundedToShareOfRequests() {
+  void limitsRetriesToShareOfRequests() {
     RetryBudget budget = RetryBudget.create(0.1, 0);
 
     long retries =
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void quietEntryMayRetryNowAndThen() {
+  void allowsOccasionalRetryWithoutRequests() {
     RetryBudget budget = RetryBudget.create(0, 0.1);
 
     assertThat(budget.tryRetry(NOW)).isTrue();
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void quietTimeSavesUpNoMoreThanOneStorm() {
+  void savesUpAtMostOneHundredRetriesWhileIdle() {
     RetryBudget budget = RetryBudget.create(0, 1);
     budget.tryRetry(NOW);
     Instant later = NOW.plusSeconds(86_400);
