--- a/core/src/main/java/dev/ibishub/core/AttemptTable.java
+++ b/core/src/main/java/dev/ibishub/core/AttemptTable.java
@@ -6,22 +6,23 @@
 import java.util.stream.IntStream;
 
 /**
- * The agent's word on every attempt: queued, then either started or revoked, once. It is what "not
- * run" rests on.
+ * The agent's record of every attempt: queued, then either started or revoked, never both. The
+ * answer "not run" depends on it.
  *
- * <p>A dispatch may be delayed past its own revocation: the caller would be told "not run" while
- * the late dispatch runs. A revocation therefore leaves a tombstone, also for an attempt never
- * seen. A tombstone, and an attempt that is over, is kept until the clock has passed the attempt's
- * deadline by the bound on clock skew. From then on a late dispatch is ignored for its deadline
- * alone, also when the clock is set back by no more than that bound. A revocation names no
- * deadline, so its tombstone lasts as long as the longest deadline that {@link #offer} takes.
+ * <p>A dispatch may be delayed until after its own revocation; without further measures the caller
+ * would be told "not run" and the late dispatch would run. A revocation therefore leaves a
+ * tombstone, also for an unknown attempt. A tombstone or finished attempt is kept until the clock
+ * has passed the attempt's deadline by the bound on clock skew. From then on the deadline alone
+ * causes a late dispatch to be ignored, even if the clock is set back by up to that bound. A
+ * revocation does not carry the deadline, so its tombstone is kept for the longest deadline that
+ * {@link #offer} accepts.
  *
- * <p>A table knows only its own process's attempts, and forgets them after their deadline. The
- * asker therefore believes a revocation only from the incarnation that the dispatch was sent to,
- * and only before the attempt's deadline; {@link RequestTracker} sees to both.
+ * <p>A table knows only the attempts of its own process, and removes them after their deadline. An
+ * entry therefore accepts a revocation only from the incarnation to which the dispatch was sent,
+ * and only before the attempt's deadline; {@link RequestTracker} checks both.
  *
  * <p>Thread-safe: attempts are spread over shards, each under its own lock. Memory is bounded: a
- * full shard takes no new attempt and promises no new revocation.
+ * full shard accepts no new attempt and confirms no revocation of an unknown one.
  *
  * <pre>{@code
  * if (table.offer(id, deadline, now) == OfferResult.QUEUED) {
@@ -49,7 +50,7 @@
   /**
    * Creates an empty table.
    *
-   * @param options its bounds
+   * @param options bounds of the table
    * @return the table
    */
   public static AttemptTable create(AttemptTableOptions options) {
@@ -57,13 +58,13 @@
   }
 
   /**
-   * Takes an attempt in.
+   * Adds an attempt.
    *
-   * @param attemptId unique name of the attempt
-   * @param deadline from which on it is never started; one that lies further ahead than the options
-   *     allow is refused, for its tombstone could be forgotten before it
-   * @param now the time
-   * @return whether it waits now, was known already, or never starts
+   * @param attemptId unique id of the attempt
+   * @param deadline time from which it is never started; refused if further ahead than the options
+   *     allow, since its tombstone could be removed before it
+   * @param now the current time
+   * @return whether it was queued, is a duplicate, or never starts
    */
   public OfferResult offer(String attemptId, Instant deadline, Instant now) {
     Instant furthest = now.plus(options.longestDeadline()).plus(options.clockSkew());
@@ -74,23 +75,24 @@
   }
 
   /**
-   * Starts a waiting attempt. The caller must then run it, and call {@link #finished} at its end.
+   * Starts a queued attempt. If this returns true, the caller must run the attempt and call {@link
+   * #finished} at its end.
    *
-   * @param attemptId the attempt
-   * @param now the time
-   * @return true once at most for an attempt; false when it was revoked, is unknown, has started
-   *     before, or its deadline has passed, which revokes it
+   * @param attemptId id of the attempt
+   * @param now the current time
+   * @return true at most once for each attempt; false if it is unknown, revoked or already started,
+   *     or if its deadline has passed, which revokes it
    */
   public boolean tryStart(String attemptId, Instant now) {
     return shard(attemptId).tryStart(attemptId, now);
   }
 
   /**
-   * Withdraws an attempt that has not started.
+   * Revokes an attempt that has not started.
    *
-   * @param attemptId the attempt, perhaps one never seen
-   * @param now the time
-   * @return true when it has not started and never will; false when it may have
+   * @param attemptId id of the attempt, which may be unknown here
+   * @param now the current time
+   * @return true if it has not started and never will; false if it may have started
    */
   public boolean revoke(String attemptId, Instant now) {
     Instant keptUntil =
@@ -99,28 +101,28 @@
   }
 
   /**
-   * Notes that a started attempt is over.
+   * Records that a started attempt has ended.
    *
-   * @param attemptId the attempt
-   * @param now the time
+   * @param attemptId id of the attempt
+   * @param now the current time
    */
   public void finished(String attemptId, Instant now) {
     shard(attemptId).finished(attemptId, now);
   }
 
   /**
-   * Forgets what no dispatch can start any more. To be called now and then.
+   * Removes the attempts and tombstones that are no longer needed. Must be called regularly.
    *
-   * @param now the time
+   * @param now the current time
    */
   public void expire(Instant now) {
     Arrays.stream(shards).forEach(shard -> shard.expire(now));
   }
 
   /**
-   * Returns how many attempts and tombstones are kept.
+   * Returns the number of attempts and tombstones kept.
    *
-   * @return the count, not exact while other threads write
+   * @return the count, approximate while other threads write
    */
   public int size() {
     return Arrays.stream(shards).mapToInt(AttemptShard::size).sum();
--- a/core/src/main/java/dev/ibishub/core/AttemptTableOptions.java
+++ b/core/src/main/java/dev/ibishub/core/AttemptTableOptions.java
@@ -5,11 +5,11 @@
 /**
  * Bounds of an {@link AttemptTable}.
  *
- * @param shards how many locks the table has; a power of two
- * @param maximumAttempts the most attempts and tombstones kept
- * @param longestDeadline how far ahead a deadline may lie when an attempt is offered
- * @param clockSkew the most that the clocks of two processes differ, and the most that a clock is
- *     ever set back
+ * @param shards number of shards, each with its own lock; a power of two
+ * @param maximumAttempts maximum number of attempts and tombstones kept
+ * @param longestDeadline how far ahead the deadline of an offered attempt may lie
+ * @param clockSkew largest difference between the clocks of two processes, and the most by which a
+ *     clock is ever set back
  */
 public record AttemptTableOptions(
     int shards, int maximumAttempts, Duration longestDeadline, Duration clockSkew) {
--- a/core/src/main/java/dev/ibishub/core/OfferResult.java
+++ b/core/src/main/java/dev/ibishub/core/OfferResult.java
@@ -1,17 +1,17 @@
 package dev.ibishub.core;
 
-/** What became of an attempt that was offered to an {@link AttemptTable}. */
+/** Result of offering an attempt to an {@link AttemptTable}. */
 public enum OfferResult {
-  /** The attempt waits and may be started or revoked. */
+  /** The attempt is queued and may be started or revoked. */
   QUEUED,
   /**
-   * The same attempt was offered before, or comes so late that this is no longer known: to be
-   * ignored without an answer.
+   * The attempt was offered before, or is so late that this is no longer known. Ignore it without
+   * an answer.
    */
   DUPLICATE,
   /**
-   * The attempt was revoked, or came too late, or there is no room: it never starts. "Not run" is
-   * the true answer.
+   * The attempt was revoked or is too late, or the table is full. It never starts, so the answer
+   * "not run" is true.
    */
   REVOKED
 }
--- a/core/src/main/java/dev/ibishub/core/internal/requests/AttemptShard.java
+++ b/core/src/main/java/dev/ibishub/core/internal/requests/AttemptShard.java
@@ -5,7 +5,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** One shard of the attempt table. Thread-safe: every method holds the shard's own lock. */
+/** One shard of an {@link dev.ibishub.core.AttemptTable}. Thread-safe by one lock. */
 public final class AttemptShard {
   private enum State {
     QUEUED,
@@ -15,18 +15,18 @@
   }
 
   /**
-   * Where an attempt stands.
+   * State of an attempt.
    *
    * @param state the state
-   * @param deadline when the agent stops taking a dispatch of it
-   * @param keptUntil when it may be forgotten, unless it is running
+   * @param deadline time from which the agent refuses a dispatch of the attempt
+   * @param keptUntil time from which the attempt may be removed unless it is running
    */
   private record Attempt(State state, Instant deadline, Instant keptUntil) {
-    Attempt in(State next) {
+    Attempt withState(State next) {
       return new Attempt(next, deadline, keptUntil);
     }
 
-    boolean forgettable(Instant now) {
+    boolean isExpired(Instant now) {
       return state != State.STARTED && !now.isBefore(keptUntil);
     }
   }
@@ -37,13 +37,13 @@
   /**
    * Creates an empty shard.
    *
-   * @param capacity the most attempts kept
+   * @param capacity maximum number of attempts kept
    */
   public AttemptShard(int capacity) {
     this.capacity = capacity;
   }
 
-  /** Queues an attempt unless it is known, too late, or there is no room. */
+  /** Queues an attempt unless it is known or too late, or the shard is full. */
   public synchronized OfferResult offer(
       String attemptId, Instant deadline, Instant keptUntil, Instant now) {
     Attempt known = attempts.get(attemptId);
@@ -51,7 +51,7 @@
       return known.state() == State.REVOKED ? OfferResult.REVOKED : OfferResult.DUPLICATE;
     }
     if (!now.isBefore(keptUntil)) {
-      // It may have run here and been forgotten, so "refused, not run" could be a lie.
+      // The attempt may have run here and been removed since, so "not run" could be false.
       return OfferResult.DUPLICATE;
     }
     if (!now.isBefore(deadline) || attempts.size() >= capacity) {
@@ -61,53 +61,61 @@
     return OfferResult.QUEUED;
   }
 
-  /** Moves a queued attempt to started, or to revoked when its deadline has passed. */
+  /**
+   * Moves a queued attempt to started, or to revoked if its deadline has passed. Returns whether it
+   * was started.
+   */
   public synchronized boolean tryStart(String attemptId, Instant now) {
     Attempt known = attempts.get(attemptId);
     if (known == null || known.state() != State.QUEUED) {
       return false;
     }
     boolean inTime = now.isBefore(known.deadline());
-    attempts.put(attemptId, known.in(inTime ? State.STARTED : State.REVOKED));
+    attempts.put(attemptId, known.withState(inTime ? State.STARTED : State.REVOKED));
     return inTime;
   }
 
-  /** Moves a queued or unknown attempt to revoked; true when it never started and never will. */
+  /**
+   * Moves a queued or unknown attempt to revoked. Returns true if it has not started and never
+   * will.
+   */
   public synchronized boolean revoke(String attemptId, Instant keptUntil) {
     Attempt known = attempts.get(attemptId);
     if (known == null) {
-      return keepTombstone(attemptId, keptUntil);
+      return addTombstone(attemptId, keptUntil);
     }
     if (known.state() == State.QUEUED) {
-      attempts.put(attemptId, known.in(State.REVOKED));
+      attempts.put(attemptId, known.withState(State.REVOKED));
       return true;
     }
     return known.state() == State.REVOKED;
   }
 
-  /** Marks a started attempt as over; it stays known against late duplicates. */
+  /** Moves a started attempt to finished. It is kept, so that late duplicates are recognized. */
   public synchronized void finished(String attemptId, Instant now) {
     attempts.computeIfPresent(
         attemptId,
         (id, known) ->
-            known.state() == State.STARTED ? forgetOrKeep(known.in(State.FINISHED), now) : known);
+            known.state() == State.STARTED
+                ? nullIfExpired(known.withState(State.FINISHED), now)
+                : known);
   }
 
-  /** Forgets what can no longer be started by any dispatch. */
+  /** Removes the attempts that no dispatch can start any more. */
   public synchronized void expire(Instant now) {
-    attempts.values().removeIf(attempt -> attempt.forgettable(now));
+    attempts.values().removeIf(attempt -> attempt.isExpired(now));
   }
 
-  /** Returns how many attempts are kept. */
+  /** Returns the number of attempts kept. */
   public synchronized int size() {
     return attempts.size();
   }
 
-  private static Attempt forgetOrKeep(Attempt attempt, Instant now) {
-    return attempt.forgettable(now) ? null : attempt;
+  private static Attempt nullIfExpired(Attempt attempt, Instant now) {
+    return attempt.isExpired(now) ? null : attempt;
   }
 
-  private boolean keepTombstone(String attemptId, Instant keptUntil) {
+  private boolean addTombstone(String attemptId, Instant keptUntil) {
     if (attempts.size() >= capacity) {
       return false;
     }
--- a/core/src/main/java/dev/ibishub/core/internal/requests/package-info.java
+++ b/core/src/main/java/dev/ibishub/core/internal/requests/package-info.java
@@ -1,2 +1,2 @@
-/** Behind the front door of a request's life: shards of attempts and entries of claims. */
+/** Internals of request handling: shards of the attempt table and entries of the claim ledger. */
 package dev.ibishub.core.internal.requests;
--- a/core/src/test/java/dev/ibishub/core/AttemptTableConcurrencyTest.java
+++ b/core/src/test/java/dev/ibishub/core/AttemptTableConcurrencyTest.java
@@ -8,7 +8,7 @@
 import org.jetbrains.lincheck.datastructures.Param;
 import org.junit.jupiter.api.Test;
 
-/** Every interleaving of two threads looks as if the operations came one after the other. */
+/** Checks that the operations of two threads are linearizable. */
 @Param(name = "id", gen = IntGen.class, conf = "0:1")
 public class AttemptTableConcurrencyTest {
   private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
@@ -39,7 +39,7 @@
   }
 
   @Test
-  void attemptsAreMovedAtomically() {
+  void changesStateOfAttemptsAtomically() {
     new ModelCheckingOptions()
         .threads(2)
         .actorsPerThread(3)
--- a/core/src/test/java/dev/ibishub/core/AttemptTableTest.java
+++ b/core/src/test/java/dev/ibishub/core/AttemptTableTest.java
@@ -15,7 +15,7 @@
       AttemptTable.create(new AttemptTableOptions(2, 8, Duration.ofMinutes(1), SKEW));
 
   @Test
-  void waitingAttemptStartsOnce() {
+  void startsQueuedAttemptOnce() {
     assertThat(table.offer("a", DEADLINE, NOW)).isEqualTo(OfferResult.QUEUED);
 
     assertThat(table.tryStart("a", NOW)).isTrue();
@@ -23,9 +23,9 @@
   }
 
   @Test
-  void lateDuplicateOfAnAttemptIsIgnored() {
-    // A school portal gets each example sentence twice: the dispatch was delivered, run to its end,
-    // and then delivered again by a slow connection.
+  void ignoresLateDuplicateOfFinishedAttempt() {
+    // Guards against running an attempt twice: its dispatch is delivered, run to the end, and
+    // delivered again by a slow connection.
     table.offer("a", DEADLINE, NOW);
     table.tryStart("a", NOW);
     table.finished("a", NOW);
@@ -34,9 +34,9 @@
   }
 
   @Test
-  void attemptOfferedAfterItMayHaveBeenForgottenIsNotCalledRefused() {
-    // A caller is told "not run" of a call that ran: a copy of its dispatch came when the agent had
-    // forgotten the finished attempt, and was refused as too late.
+  void doesNotRefuseAttemptThatMayHaveBeenRemovedAfterItRan() {
+    // Guards against "not run" for a call that ran: a copy of its dispatch arrives after the agent
+    // has removed the finished attempt, and is refused as too late.
     table.offer("a", DEADLINE, NOW);
     table.tryStart("a", NOW);
     table.finished("a", NOW);
@@ -47,13 +47,13 @@
   }
 
   @Test
-  void attemptOfferedJustAfterItsDeadlineIsRefused() {
+  void refusesAttemptOfferedAtItsDeadline() {
     assertThat(table.offer("a", DEADLINE, DEADLINE)).isEqualTo(OfferResult.REVOKED);
     assertThat(table.tryStart("a", DEADLINE)).isFalse();
   }
 
   @Test
-  void startedAttemptIsNotRevoked() {
+  void doesNotRevokeStartedAttempt() {
     table.offer("a", DEADLINE, NOW);
     table.tryStart("a", NOW);
 
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void revokedAttemptNeverStarts() {
+  void neverStartsRevokedAttempt() {
     table.offer("a", DEADLINE, NOW);
 
     assertThat(table.revoke("a", NOW)).isTrue();
@@ -72,10 +72,10 @@
   }
 
   @Test
-  void dispatchDelayedPastItsOwnRevocationNeverStarts() {
-    // A caller is told "not run" and sends its request again; a minute later finance finds that it
-    // ran twice. The entry gave up and revoked; the revocation overtook the dispatch, which then
-    // came to an agent that had never heard of the attempt.
+  void neverStartsDispatchThatArrivesAfterItsRevocation() {
+    // Guards against a second run after "not run": the entry gives up and revokes, and the
+    // revocation overtakes the dispatch, which then reaches an agent that does not know the
+    // attempt.
     assertThat(table.revoke("a", NOW)).isTrue();
 
     assertThat(table.offer("a", DEADLINE, NOW.plusSeconds(9))).isEqualTo(OfferResult.REVOKED);
@@ -83,8 +83,8 @@
   }
 
   @Test
-  void tombstoneOutlivesTheLongestDeadlineOnASkewedClock() {
-    // As above, but the dispatch names the longest deadline, by an entry's clock that is ahead.
+  void keepsTombstoneForLongestDeadlineOnSkewedClock() {
+    // As above, but the dispatch has the longest deadline, set by an entry whose clock is ahead.
     Instant longest = NOW.plus(Duration.ofMinutes(1)).plus(SKEW);
     table.revoke("a", NOW);
 
@@ -96,14 +96,14 @@
   }
 
   @Test
-  void deadlineThatATombstoneMightNotOutliveIsRefused() {
+  void refusesDeadlineThatTombstoneMightNotOutlive() {
     Instant tooFar = NOW.plus(Duration.ofMinutes(1)).plus(SKEW).plusNanos(1);
 
     assertThat(table.offer("a", tooFar, NOW)).isEqualTo(OfferResult.REVOKED);
   }
 
   @Test
-  void attemptWhoseDeadlinePassedInTheQueueIsRevoked() {
+  void revokesQueuedAttemptWhoseDeadlinePassed() {
     table.offer("a", DEADLINE, NOW);
 
     assertThat(table.tryStart("a", DEADLINE)).isFalse();
@@ -112,7 +112,7 @@
   }
 
   @Test
-  void runningAttemptIsKeptPastItsDeadline() {
+  void keepsRunningAttemptPastItsDeadline() {
     table.offer("a", DEADLINE, NOW);
     table.tryStart("a", NOW);
 
@@ -124,9 +124,9 @@
   }
 
   @Test
-  void fullTableTakesNothingAndPromisesNothing() {
-    // Under a flood of revocations the agent's memory must not grow; it answers "may have started"
-    // for what it can't remember, which leaves the caller at "outcome unknown".
+  void refusesOffersAndRevocationsWhileFull() {
+    // A flood of revocations must not grow the agent's memory. For an attempt that it can't record
+    // the agent answers "may have started", so the caller gets "outcome unknown".
     for (int i = 0; i < 100; i++) {
       table.revoke("flood" + i, NOW);
     }
