--- a/core/src/main/java/dev/ibishub/core/AnswerAssembler.java
+++ b/core/src/main/java/dev/ibishub/core/AnswerAssembler.java
@@ -8,15 +8,16 @@
 import java.util.zip.CRC32C;
 
 /**
- * Puts the chunks of one attempt's answer together at the entry: late, twice or out of order they
- * come in, once and in order they go out.
+ * Assembles the chunks of one attempt's answer at the entry. Chunks may arrive late, repeatedly and
+ * out of order; each is returned once and in order.
  *
- * <p>Two generations of one request must never be spliced: the caller would get a text that no
- * engine wrote. An assembler therefore takes chunks of its own attempt only; a new attempt needs a
- * new assembler, and nothing of the old one may have reached the caller unless the caller accepts a
- * restart. Count and checksum at the end show a chunk that was lost or exchanged on the way.
+ * <p>Chunks of two generations of one request must never be mixed, since the caller would get a
+ * text that no engine wrote. An assembler therefore accepts chunks of its own attempt only. A new
+ * attempt needs a new assembler, and nothing of the old one may have reached the caller unless the
+ * caller accepts a restart. Count and checksum at the end reveal chunks that were lost or changed
+ * on the way.
  *
- * <p>Not thread-safe: one connection's thread owns it.
+ * <p>Not thread-safe: used by the thread of one connection.
  *
  * <pre>{@code
  * AnswerAssembler answer = AnswerAssembler.forAttempt(attemptId, 1024);
@@ -27,7 +28,7 @@
 public final class AnswerAssembler {
   private final String attemptId;
   private final int window;
-  private final Map<Long, byte[]> early = new HashMap<>();
+  private final Map<Long, byte[]> outOfOrder = new HashMap<>();
   private final CRC32C checksum = new CRC32C();
   private long nextNumber;
   private AnswerEnd end;
@@ -41,8 +42,8 @@
   /**
    * Creates the assembler of one attempt.
    *
-   * @param attemptId the attempt
-   * @param window how far ahead of the next chunk one may come; the bound on memory
+   * @param attemptId id of the attempt
+   * @param window number of chunks, counted from the next one, that are accepted; bounds the memory
    * @return the assembler
    */
   public static AnswerAssembler forAttempt(String attemptId, int window) {
@@ -50,12 +51,12 @@
   }
 
   /**
-   * Takes a chunk.
+   * Accepts a chunk.
    *
-   * @param attempt whose chunk it is; another attempt's chunk is ignored
-   * @param number its number
-   * @param data its bytes
-   * @return the chunks that may go to the caller now, in order; each is returned once
+   * @param attempt id of the chunk's attempt; a chunk of another attempt is ignored
+   * @param number number of the chunk
+   * @param data bytes of the chunk
+   * @return the chunks that can now be sent to the caller, in order; each is returned once
    */
   public List<byte[]> accept(String attempt, long number, byte[] data) {
     if (!attempt.equals(attemptId) || result != null || number < nextNumber) {
@@ -65,58 +66,59 @@
       result = ResultCode.ANSWER_CORRUPTED;
       return List.of();
     }
-    early.putIfAbsent(number, data);
-    List<byte[]> released = release();
-    settle();
-    return released;
+    outOfOrder.putIfAbsent(number, data);
+    List<byte[]> deliverable = removeInOrder();
+    updateResult();
+    return deliverable;
   }
 
   /**
-   * Takes the end of the answer, which may come before late chunks.
+   * Accepts the end of the answer, which may arrive before late chunks.
    *
-   * @param attempt whose end it is; another attempt's end is ignored
-   * @param how the end
-   * @return what {@link #result} returns now
+   * @param attempt id of the end's attempt; an end of another attempt is ignored
+   * @param answerEnd the end
+   * @return the value of {@link #result} afterwards
    */
-  public Optional<ResultCode> end(String attempt, AnswerEnd how) {
+  public Optional<ResultCode> end(String attempt, AnswerEnd answerEnd) {
     if (attempt.equals(attemptId) && end == null) {
-      end = how;
-      settle();
+      end = answerEnd;
+      updateResult();
     }
     return result();
   }
 
   /**
-   * Returns what became of the answer.
+   * Returns the result of the answer.
    *
-   * @return empty while chunks or the end are missing; then {@code OK} for a whole answer, {@code
-   *     ANSWER_CORRUPTED} for one whose count or checksum is wrong, or the agent's own code
+   * @return empty while chunks or the end are missing; then {@code OK} for a complete answer,
+   *     {@code ANSWER_CORRUPTED} if count or checksum don't match or a chunk lies outside the
+   *     window, or else the agent's own code
    */
   public Optional<ResultCode> result() {
     return Optional.ofNullable(result);
   }
 
   /**
-   * Returns the number of the next chunk to go to the caller.
+   * Returns the number of the next chunk to send to the caller.
    *
-   * @return how many chunks were released
+   * @return the number of chunks returned so far
    */
   public long nextNumber() {
     return nextNumber;
   }
 
-  private List<byte[]> release() {
-    List<byte[]> released = new ArrayList<>();
-    while (early.containsKey(nextNumber)) {
-      byte[] data = early.remove(nextNumber);
+  private List<byte[]> removeInOrder() {
+    List<byte[]> deliverable = new ArrayList<>();
+    while (outOfOrder.containsKey(nextNumber)) {
+      byte[] data = outOfOrder.remove(nextNumber);
       checksum.update(data);
-      released.add(data);
+      deliverable.add(data);
       nextNumber++;
     }
-    return released;
+    return deliverable;
   }
 
-  private void settle() {
+  private void updateResult() {
     if (end == null || result != null) {
       return;
     }
@@ -127,10 +129,10 @@
     if (nextNumber < end.chunkCount()) {
       return;
     }
-    boolean whole =
+    boolean complete =
         nextNumber == end.chunkCount()
-            && early.isEmpty()
+            && outOfOrder.isEmpty()
             && (int) checksum.getValue() == end.checksum();
-    result = whole ? ResultCode.OK : ResultCode.ANSWER_CORRUPTED;
+    result = complete ? ResultCode.OK : ResultCode.ANSWER_CORRUPTED;
   }
 }
--- a/core/src/main/java/dev/ibishub/core/AnswerEnd.java
+++ b/core/src/main/java/dev/ibishub/core/AnswerEnd.java
@@ -6,13 +6,13 @@
 import java.util.Optional;
 
 /**
- * How an attempt's answer ended.
+ * The end of an attempt's answer.
  *
  * @param code the result
- * @param detail for people, empty when all went well
- * @param chunkCount how many chunks the whole answer has
+ * @param detail explanation for people, empty on success
+ * @param chunkCount number of chunks in the whole answer
  * @param checksum CRC-32C over the data of all chunks in order
- * @param retryAt the earliest time at which another try makes sense, if the result says so
+ * @param retryAt the earliest time at which a retry makes sense, if the result names one
  * @param usedTokens tokens of prompt and answer
  * @param httpStatus status of a plain service's answer, or 0
  * @param headers end-to-end headers of a plain service's answer
@@ -35,7 +35,7 @@
   }
 
   /**
-   * Makes the end of an answer that went well; {@link StreamBuffer#end} fills in its totals.
+   * Creates the end of a successful answer; {@link StreamBuffer#end} fills in its totals.
    *
    * @param usedTokens tokens of prompt and answer
    * @return the end
@@ -45,9 +45,9 @@
   }
 
   /**
-   * Makes the end of an answer that failed.
+   * Creates the end of a failed answer.
    *
-   * @param failure why
+   * @param failure the reason
    * @return the end
    */
   public static AnswerEnd failure(ResultException failure) {
@@ -56,9 +56,9 @@
   }
 
   /**
-   * Returns this end with the totals of the chunks that went before it.
+   * Returns a copy of this end with the totals of the preceding chunks.
    *
-   * @param count how many chunks
+   * @param count number of chunks
    * @param crc CRC-32C over their data in order
    * @return the end with its totals
    */
--- a/core/src/main/java/dev/ibishub/core/NumberedChunk.java
+++ b/core/src/main/java/dev/ibishub/core/NumberedChunk.java
@@ -1,12 +1,12 @@
 package dev.ibishub.core;
 
 /**
- * One piece of an answer.
+ * One chunk of an answer.
  *
- * @param number its place in the answer of one attempt, from 0 without gaps
- * @param data its bytes; not to be changed
+ * @param number position in the answer of one attempt, from 0 without gaps
+ * @param data bytes of the chunk; must not be modified
  */
-@SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
+@SuppressWarnings("ArrayRecordComponent") // Passed on, never compared or hashed.
 public record NumberedChunk(long number, byte[] data) {
   /** Checks the number. */
   public NumberedChunk {
--- a/core/src/test/java/dev/ibishub/core/AnswerAssemblerTest.java
+++ b/core/src/test/java/dev/ibishub/core/AnswerAssemblerTest.java
@@ -10,8 +10,8 @@
   private final AnswerAssembler answer = AnswerAssembler.forAttempt("a", 4);
 
   @Test
-  void chunksOutOfOrderAndTwiceGoOutOnceAndInOrder() {
-    // Pupils saw duplicated usage notes: a chunk came twice and was relayed twice.
+  void returnsRepeatedAndReorderedChunksOnceAndInOrder() {
+    // Guards against duplicated text in an answer: a chunk arrives twice and is relayed twice.
     assertThat(answer.accept("a", 1, bytes("b"))).isEmpty();
     assertThat(answer.accept("a", 1, bytes("b"))).isEmpty();
     assertThat(answer.accept("a", 0, bytes("a"))).containsExactly(bytes("a"), bytes("b"));
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void chunkThatComesAfterTheEndCompletesTheAnswer() {
+  void completesAnswerWithChunkAfterEnd() {
     answer.accept("a", 0, bytes("a"));
     assertThat(answer.end("a", endOf("ab", 2))).isEmpty();
 
@@ -30,7 +30,7 @@
   }
 
   @Test
-  void chunksOfAnotherAttemptAreNeverSpliced() {
+  void ignoresChunksOfAnotherAttempt() {
     answer.accept("a", 0, bytes("a"));
 
     assertThat(answer.accept("other", 1, bytes("x"))).isEmpty();
@@ -39,14 +39,14 @@
   }
 
   @Test
-  void exchangedChunkIsFoundByTheChecksum() {
+  void detectsChangedChunkByChecksum() {
     answer.accept("a", 0, bytes("x"));
 
     assertThat(answer.end("a", endOf("a", 1))).contains(ResultCode.ANSWER_CORRUPTED);
   }
 
   @Test
-  void chunkBeyondTheCountIsFound() {
+  void detectsChunkBeyondCount() {
     answer.accept("a", 0, bytes("a"));
     answer.accept("a", 2, bytes("c"));
 
@@ -54,14 +54,14 @@
   }
 
   @Test
-  void chunkFarAheadDoesNotFillTheMemory() {
+  void failsOnChunkOutsideWindow() {
     assertThat(answer.accept("a", 4, bytes("x"))).isEmpty();
 
     assertThat(answer.result()).contains(ResultCode.ANSWER_CORRUPTED);
   }
 
   @Test
-  void failureOfTheAgentIsPassedOn() {
+  void returnsFailureOfAgent() {
     AnswerEnd failed =
         AnswerEnd.failure(new ResultException(ResultCode.ENGINE_FAILED, "engine gone"));
 
@@ -69,9 +69,9 @@
     assertThat(answer.accept("a", 0, bytes("late"))).isEmpty();
   }
 
-  private static AnswerEnd endOf(String whole, long count) {
+  private static AnswerEnd endOf(String text, long count) {
     CRC32C checksum = new CRC32C();
-    checksum.update(bytes(whole));
+    checksum.update(bytes(text));
     return AnswerEnd.success(1).withTotals(count, (int) checksum.getValue());
   }
 
