--- a/core/src/main/java/dev/ibishub/core/RequestTracker.java
+++ b/core/src/main/java/dev/ibishub/core/RequestTracker.java
@@ -7,22 +7,25 @@
 import java.util.Optional;
 
 /**
- * What the entry knows of one request's attempts, and so what it may say and do.
+ * Tracks the attempts of one request at an entry, and decides from them what the caller may be told
+ * and whether another attempt is allowed. Used behind ibishub's own interface; on the platform of
+ * its users {@code RetryRule} decides on further attempts.
  *
- * <p>Once a dispatch has left the entry, the attempt may run at any later time, whatever became of
- * the connection. Only two things prove that it did not: the agent's word (a revocation, or an end
- * whose code says "not run"), or that the bytes never left. All else is outcome unknown.
+ * <p>Once a dispatch has left the entry, the attempt may run at any later time, whatever happens to
+ * the connection. There are only two proofs that it did not run: the agent's statement (a
+ * revocation, or an end whose code says "not run"), or that none of its bytes were sent. In all
+ * other cases the outcome is unknown.
  *
- * <p>The agent's word counts only from the incarnation that the dispatch went to: one that
- * restarted knows nothing of what ran before. A revocation counts only before the attempt's
- * deadline, as the agent forgets attempts after it.
+ * <p>The agent's statement counts only from the incarnation to which the dispatch was sent, since a
+ * restarted agent does not know what ran before. A revocation counts only before the attempt's
+ * deadline, since the agent removes attempts after it.
  *
- * <p>Not thread-safe: the request's owner guards it.
+ * <p>Not thread-safe: guarded by the owner of the request.
  *
  * <pre>{@code
  * RequestTracker tracker = RequestTracker.of(Repeatability.MAY_BE_REPEATED, deadline);
  * tracker.dispatched(attemptId, agentIncarnation);
- * tracker.linkLost(attemptId, ResultCode.TARGET_LOST);
+ * tracker.lost(attemptId, ResultCode.TARGET_LOST);
  * if (tracker.mayDispatch(now)) {
  *   // choose another target, under a new attempt id
  * } else {
@@ -39,11 +42,11 @@
   }
 
   /**
-   * What is known of one attempt.
+   * State of one attempt.
    *
-   * @param incarnation of the agent that it was sent to
+   * @param incarnation incarnation of the agent to which it was sent
    * @param state the state
-   * @param code why it is in that state, null while it is open
+   * @param code reason for the state, null while the attempt is open
    */
   private record Attempt(long incarnation, State state, ResultCode code) {}
 
@@ -59,10 +62,10 @@
   }
 
   /**
-   * Creates the tracker of a request that has no attempt yet.
+   * Creates the tracker of a request without attempts.
    *
-   * @param repeatability whether it may run more than once
-   * @param deadline of the request and of each of its attempts
+   * @param repeatability whether the request may run more than once
+   * @param deadline deadline of the request and of each of its attempts
    * @return the tracker
    */
   public static RequestTracker of(Repeatability repeatability, Instant deadline) {
@@ -70,16 +73,19 @@
         Objects.requireNonNull(repeatability), Objects.requireNonNull(deadline));
   }
 
-  /** Notes that the caller takes an answer that starts anew after a part of another. */
+  /**
+   * Records that the caller accepts an answer that restarts after a part of another was delivered.
+   */
   public void acceptRestart() {
     acceptsRestart = true;
   }
 
   /**
-   * Notes a dispatch, before its first byte is handed to the connection.
+   * Records a dispatch. Must be called before its first byte is handed to the connection.
    *
-   * @param attemptId a new name, never used for another attempt
-   * @param incarnation of the agent that it goes to
+   * @param attemptId new id, never used for another attempt
+   * @param incarnation incarnation of the agent to which it is sent
+   * @throws IllegalStateException if the id was dispatched before
    */
   public void dispatched(String attemptId, long incarnation) {
     Attempt attempt = new Attempt(incarnation, State.OPEN, null);
@@ -89,72 +95,72 @@
   }
 
   /**
-   * Notes the proof that none of a dispatch's bytes left this process.
+   * Records the proof that none of a dispatch's bytes left this process.
    *
-   * @param attemptId the attempt
-   * @param code why, a code that says "not run"
+   * @param attemptId id of the attempt
+   * @param code reason, a code that says "not run"
    */
   public void neverSent(String attemptId, ResultCode code) {
-    settle(attemptId, State.NOT_RUN, code);
+    updateState(attemptId, State.NOT_RUN, code);
   }
 
   /**
-   * Notes the agent's answer to a revocation.
+   * Records the agent's answer to a revocation.
    *
-   * @param attemptId the attempt
-   * @param incarnation of the agent that answered
-   * @param revoked the agent's word that the attempt did not start and never will
-   * @param now the time
+   * @param attemptId id of the attempt
+   * @param incarnation incarnation of the agent that answered
+   * @param revoked whether the agent says that the attempt did not start and never will
+   * @param now the current time
    */
   public void revokeAnswered(String attemptId, long incarnation, boolean revoked, Instant now) {
-    boolean believed = revoked && isFrom(attemptId, incarnation) && now.isBefore(deadline);
-    if (believed) {
-      settle(attemptId, State.NOT_RUN, ResultCode.REVOKED);
+    boolean accepted = revoked && isFrom(attemptId, incarnation) && now.isBefore(deadline);
+    if (accepted) {
+      updateState(attemptId, State.NOT_RUN, ResultCode.REVOKED);
     }
   }
 
   /**
-   * Notes the end that the agent gave for an attempt.
+   * Records the end of an attempt as sent by its agent.
    *
-   * @param attemptId the attempt
-   * @param incarnation of the agent that ended it
-   * @param code the result; {@code OK} only when the whole answer is here
+   * @param attemptId id of the attempt
+   * @param incarnation incarnation of the agent that sent the end
+   * @param code the result; {@code OK} only if the whole answer has arrived
    */
   public void ended(String attemptId, long incarnation, ResultCode code) {
     if (!isFrom(attemptId, incarnation)) {
       return;
     }
     switch (code.outcome()) {
-      case DONE -> settle(attemptId, State.DONE, code);
-      case NOT_RUN -> settle(attemptId, State.NOT_RUN, code);
-      default -> settle(attemptId, State.UNKNOWN, code);
+      case DONE -> updateState(attemptId, State.DONE, code);
+      case NOT_RUN -> updateState(attemptId, State.NOT_RUN, code);
+      default -> updateState(attemptId, State.UNKNOWN, code);
     }
   }
 
   /**
-   * Notes that nothing more will be heard of an attempt.
+   * Records that no more messages about an attempt will arrive.
    *
-   * @param attemptId the attempt
-   * @param code why, a code that says "outcome unknown"
+   * @param attemptId id of the attempt
+   * @param code reason, a code that says "outcome unknown"
    */
   public void lost(String attemptId, ResultCode code) {
-    settle(attemptId, State.UNKNOWN, code);
+    updateState(attemptId, State.UNKNOWN, code);
   }
 
-  /** Notes that a part of an answer has gone to the caller. */
+  /** Records that a part of an answer was sent to the caller. */
   public void delivered() {
     delivered = true;
   }
 
   /**
-   * Says whether another attempt may be made.
+   * Returns whether another attempt is allowed.
    *
-   * @param now the time
-   * @return false while an attempt is open, after the deadline, after an answer, and when a second
+   * @param now the current time
+   * @return false while an attempt is open, after the deadline, after an answer, and if a second
    *     run could do harm
    */
   public boolean mayDispatch(Instant now) {
-    if (!now.isBefore(deadline) || any(State.OPEN) || any(State.DONE)) {
+    if (!now.isBefore(deadline) || anyIn(State.OPEN) || anyIn(State.DONE)) {
       return false;
     }
     if (delivered && !acceptsRestart) {
@@ -162,26 +168,26 @@
     }
     return switch (repeatability) {
       case MAY_BE_REPEATED, ONCE_BY_CLAIM -> true;
-      case ONCE -> !any(State.UNKNOWN);
+      case ONCE -> !anyIn(State.UNKNOWN);
     };
   }
 
   /**
-   * Returns what the caller is told when no further attempt is made.
+   * Returns the code for the caller if no further attempt is made.
    *
-   * @param whenNeverDispatched the code for a request without attempts, one that says "not run"
-   * @return the code: of the answer, or of the first attempt that may have run, or else of the last
+   * @param whenNeverDispatched code for a request without attempts, one that says "not run"
+   * @return the code of the answer, or of the first attempt that may have run, or else of the last
    *     refusal; empty while an attempt is open
    */
   public Optional<ResultCode> finalCode(ResultCode whenNeverDispatched) {
-    if (any(State.DONE)) {
-      return first(State.DONE);
+    if (anyIn(State.DONE)) {
+      return firstCodeIn(State.DONE);
     }
-    if (any(State.OPEN)) {
+    if (anyIn(State.OPEN)) {
       return Optional.empty();
     }
-    if (any(State.UNKNOWN)) {
-      return first(State.UNKNOWN);
+    if (anyIn(State.UNKNOWN)) {
+      return firstCodeIn(State.UNKNOWN);
     }
     return Optional.of(
         attempts.values().stream()
@@ -191,10 +197,10 @@
   }
 
   /**
-   * Gives the request up at once, with attempts open: what they do from now on is not known.
+   * Ends the request at once. The outcome of attempts that are still open is unknown from now on.
    *
-   * @param whenNotRun the code if every attempt is proved not to have run
-   * @param whenUnknown the code if one may have run
+   * @param whenNotRun code to return if there was no attempt
+   * @param whenUnknown code for open attempts
    * @return the final code
    */
   public ResultCode giveUp(ResultCode whenNotRun, ResultCode whenUnknown) {
@@ -211,8 +217,11 @@
     return attempt != null && attempt.incarnation() == incarnation;
   }
 
-  /** Proof replaces what is open or unknown; nothing replaces proof. */
-  private void settle(String attemptId, State state, ResultCode code) {
+  /**
+   * Changes an attempt's state: proof replaces an open or unknown state, and nothing replaces
+   * proof.
+   */
+  private void updateState(String attemptId, State state, ResultCode code) {
     attempts.computeIfPresent(
         attemptId,
         (id, attempt) ->
@@ -222,11 +231,11 @@
                 : attempt);
   }
 
-  private boolean any(State state) {
+  private boolean anyIn(State state) {
     return attempts.values().stream().anyMatch(attempt -> attempt.state() == state);
   }
 
-  private Optional<ResultCode> first(State state) {
+  private Optional<ResultCode> firstCodeIn(State state) {
     return attempts.values().stream()
         .filter(attempt -> attempt.state() == state)
         .map(Attempt::code)
--- a/core/src/test/java/dev/ibishub/core/RequestTrackerTest.java
+++ b/core/src/test/java/dev/ibishub/core/RequestTrackerTest.java
@@ -12,15 +12,16 @@
   private final RequestTracker tracker = RequestTracker.of(Repeatability.ONCE, DEADLINE);
 
   @Test
-  void requestNeverDispatchedDidNotRun() {
+  void reportsNotRunIfNeverDispatched() {
     assertThat(tracker.mayDispatch(NOW)).isTrue();
     assertThat(tracker.finalCode(ResultCode.NO_TARGET)).contains(ResultCode.NO_TARGET);
   }
 
   @Test
-  void lostConnectionNeverSaysNotRun() {
-    // An incentive is posted twice: the connection broke after the dispatch, the caller was told
-    // "not run" and sent it again, while the agent had the whole dispatch and ran it.
+  void reportsUnknownOutcomeAfterLostConnection() {
+    // Guards against a second run of a request: the connection breaks after the dispatch, and the
+    // caller is told "not run" and sends the request again, while the agent has the whole dispatch
+    // and runs it.
     tracker.dispatched("a", 1);
     tracker.lost("a", ResultCode.TARGET_LOST);
 
@@ -29,7 +30,7 @@
   }
 
   @Test
-  void bytesThatNeverLeftAllowAnotherAttempt() {
+  void allowsAnotherAttemptIfNothingWasSent() {
     tracker.dispatched("a", 1);
     tracker.neverSent("a", ResultCode.TARGET_UNREACHABLE);
 
@@ -38,7 +39,7 @@
   }
 
   @Test
-  void revocationProvesNotRunAlsoAfterTheConnectionWasLost() {
+  void acceptsRevocationAfterLostConnection() {
     tracker.dispatched("a", 1);
     tracker.lost("a", ResultCode.TARGET_LOST);
     tracker.revokeAnswered("a", 1, true, NOW);
@@ -48,9 +49,9 @@
   }
 
   @Test
-  void agentThatRestartedCannotSayThatAnAttemptDidNotRun() {
-    // A caller is told "not run" of a call that ran: its agent started it, died, came back without
-    // memory, and then revoked an attempt that it had never heard of.
+  void ignoresRestartedAgentThatReportsNotRun() {
+    // Guards against "not run" for a call that ran: its agent starts it, dies, restarts without
+    // memory, and then revokes an attempt that it does not know.
     tracker.dispatched("a", 1);
     tracker.lost("a", ResultCode.TARGET_LOST);
     tracker.revokeAnswered("a", 2, true, NOW);
@@ -60,9 +61,9 @@
   }
 
   @Test
-  void revocationAfterTheDeadlineIsNotBelieved() {
-    // As above, but the agent lives and has forgotten the finished attempt, as it may after the
-    // deadline.
+  void ignoresRevocationAfterDeadline() {
+    // As above, but the agent did not restart; it has removed the finished attempt, as it may after
+    // the deadline.
     tracker.dispatched("a", 1);
     tracker.lost("a", ResultCode.TARGET_LOST);
     tracker.revokeAnswered("a", 1, true, DEADLINE);
@@ -71,7 +72,7 @@
   }
 
   @Test
-  void refusedRevocationLeavesTheAttemptOpen() {
+  void keepsAttemptOpenAfterRefusedRevocation() {
     tracker.dispatched("a", 1);
     tracker.revokeAnswered("a", 1, false, NOW);
 
@@ -80,7 +81,7 @@
   }
 
   @Test
-  void agentsRefusalAllowsAnotherAttempt() {
+  void allowsAnotherAttemptAfterRefusalByAgent() {
     tracker.dispatched("a", 1);
     tracker.ended("a", 1, ResultCode.TARGET_LEAVING);
 
@@ -89,7 +90,7 @@
   }
 
   @Test
-  void oneUnknownAttemptOutweighsLaterRefusals() {
+  void reportsUnknownOutcomeDespiteLaterRefusal() {
     RequestTracker claimed = RequestTracker.of(Repeatability.ONCE_BY_CLAIM, DEADLINE);
     claimed.dispatched("a", 1);
     claimed.lost("a", ResultCode.TARGET_LOST);
@@ -101,9 +102,9 @@
   }
 
   @Test
-  void repeatableRequestIsTriedAgainUntilAPartWasDelivered() {
-    // Two generations spliced into one answer: the first target died after some tokens, and the
-    // second one's tokens were appended to them.
+  void retriesRepeatableRequestUntilPartWasDelivered() {
+    // Guards against mixing two generations in one answer: the first target dies after some tokens,
+    // and the tokens of the second target are appended to them.
     RequestTracker generation = RequestTracker.of(Repeatability.MAY_BE_REPEATED, DEADLINE);
     generation.dispatched("a", 1);
     generation.lost("a", ResultCode.TARGET_LOST);
@@ -117,7 +118,7 @@
   }
 
   @Test
-  void answeredRequestGetsNoFurtherAttempt() {
+  void allowsNoAttemptAfterAnswer() {
     RequestTracker generation = RequestTracker.of(Repeatability.MAY_BE_REPEATED, DEADLINE);
     generation.dispatched("a", 1);
     generation.ended("a", 1, ResultCode.OK);
@@ -128,7 +129,7 @@
   }
 
   @Test
-  void givingUpAnswersAtOnceAndHonestly() {
+  void reportsUnknownOutcomeOnGivingUpOpenAttempt() {
     tracker.dispatched("a", 1);
 
     assertThat(tracker.giveUp(ResultCode.NO_TARGET, ResultCode.DEADLINE_PASSED_RUNNING))
@@ -137,7 +138,7 @@
   }
 
   @Test
-  void nothingIsDispatchedAfterTheDeadline() {
+  void allowsNoAttemptAfterDeadline() {
     assertThat(tracker.mayDispatch(DEADLINE)).isFalse();
   }
 }
