--- a/core/src/main/java/dev/ibishub/core/StreamBuffer.java
+++ b/core/src/main/java/dev/ibishub/core/StreamBuffer.java
@@ -7,10 +7,10 @@
 
 /**
  * The chunks of one attempt's answer, kept for relay and for callers that resume at another entry.
- * Made by {@link StreamBuffers}, which bounds all buffers of a process together.
+ * Created by {@link StreamBuffers}, which bounds the memory of all buffers in a process.
  *
- * <p>Only chunks that were {@linkplain #release released} are dropped to make room, so a slow
- * reader is held back and not cut off.
+ * <p>While the answer is running, only chunks that were {@linkplain #release released} are evicted,
+ * so a slow reader causes back-pressure and loses nothing.
  *
  * <p>Thread-safe.
  */
@@ -20,7 +20,7 @@
   private final List<NumberedChunk> chunks = new ArrayList<>();
   private final CRC32C checksum = new CRC32C();
   private long nextNumber;
-  private long released;
+  private long releasedCount;
   private AnswerEnd end;
 
   StreamBuffer(String attemptId, StreamBuffers owner) {
@@ -28,7 +28,7 @@
     this.owner = owner;
   }
 
-  /** Returns the attempt whose answer this is. */
+  /** Returns the id of the attempt. */
   public String attemptId() {
     return attemptId;
   }
@@ -36,34 +36,39 @@
   /**
    * Adds the next chunk.
    *
-   * @param number its number, which must be the next one
-   * @param data its bytes, not to be changed afterwards
+   * @param number number of the chunk, which must be the next one
+   * @param data bytes of the chunk, which must not be modified afterwards
    * @throws IllegalStateException if the number leaves a gap or the answer has ended
    */
   public void append(long number, byte[] data) {
     synchronized (this) {
       if (end != null || number != nextNumber) {
         throw new IllegalStateException(
-            "chunk " + number + " came where " + nextNumber + " was due, ended: " + (end != null));
+            "chunk "
+                + number
+                + " appended, "
+                + nextNumber
+                + " expected; answer ended: "
+                + (end != null));
       }
       chunks.add(new NumberedChunk(number, data));
       checksum.update(data);
       nextNumber++;
     }
-    owner.grew(data.length);
+    owner.bytesAdded(data.length);
   }
 
   /**
-   * Ends the answer. The totals of the chunks are filled in here; a second end is ignored.
+   * Ends the answer and fills in the totals of the chunks. A second end is ignored.
    *
-   * @param how how the answer ended
+   * @param answerEnd the end of the answer
    */
-  public void end(AnswerEnd how) {
+  public void end(AnswerEnd answerEnd) {
     synchronized (this) {
       if (end != null) {
         return;
       }
-      end = how.withTotals(nextNumber, (int) checksum.getValue());
+      end = answerEnd.withTotals(nextNumber, (int) checksum.getValue());
     }
     owner.ended(this);
   }
@@ -71,7 +76,7 @@
   /**
    * Returns the end with its totals.
    *
-   * @return empty while the answer still grows
+   * @return empty while the answer is running
    */
   public synchronized Optional<AnswerEnd> ending() {
     return Optional.ofNullable(end);
@@ -80,11 +85,11 @@
   /**
    * Reads chunks that are still kept.
    *
-   * @param from the first number wanted
-   * @param maximum the most chunks wanted
-   * @return the chunks in order, empty when the answer has not come that far
-   * @throws ResultException with {@code STREAM_POSITION_LOST} when chunks from that number on were
-   *     dropped, or the answer ended before it
+   * @param from number of the first chunk to read
+   * @param maximum maximum number of chunks to read
+   * @return the chunks in order, empty if the answer has not reached that number
+   * @throws ResultException with {@code STREAM_POSITION_LOST} if the chunk of that number was
+   *     evicted or the answer ended before it
    */
   public synchronized List<NumberedChunk> read(long from, int maximum) {
     long firstKept = firstKept();
@@ -99,25 +104,28 @@
   }
 
   /**
-   * Allows chunks to be dropped when room is needed.
+   * Allows chunks to be evicted when memory is needed.
    *
-   * @param below the chunks with lower numbers have reached the entry
+   * @param below chunks with lower numbers have reached the entry
    */
   public synchronized void release(long below) {
-    released = Math.max(released, Math.min(below, nextNumber));
+    releasedCount = Math.max(releasedCount, Math.min(below, nextNumber));
   }
 
-  /** Says whether the answer has ended and all of it has reached the entry. */
+  /** Returns whether the answer has ended and all of it has reached the entry. */
   synchronized boolean isReleased() {
-    return end != null && released == nextNumber;
+    return end != null && releasedCount == nextNumber;
   }
 
-  /** Drops released chunks, oldest first, until so many bytes are free; returns how many are. */
-  synchronized long drop(long bytesWanted) {
+  /**
+   * Evicts released chunks, oldest first, until the given number of bytes is freed; returns the
+   * number of bytes freed.
+   */
+  synchronized long evict(long bytesWanted) {
     long freed = 0;
     int count = 0;
-    long droppable = released - firstKept();
-    while (freed < bytesWanted && count < droppable) {
+    long evictable = releasedCount - firstKept();
+    while (freed < bytesWanted && count < evictable) {
       freed += chunks.get(count).data().length;
       count++;
     }
@@ -125,8 +133,8 @@
     return freed;
   }
 
-  /** Drops all chunks; returns how many bytes that frees. */
-  synchronized long dropAll() {
+  /** Evicts all chunks; returns the number of bytes freed. */
+  synchronized long evictAll() {
     long freed = chunks.stream().mapToLong(chunk -> chunk.data().length).sum();
     chunks.clear();
     return freed;
--- a/core/src/main/java/dev/ibishub/core/StreamBuffers.java
+++ b/core/src/main/java/dev/ibishub/core/StreamBuffers.java
@@ -7,9 +7,9 @@
 import java.util.function.Predicate;
 
 /**
- * All answers that a process keeps, under one bound on their bytes. Over the bound go first the
- * answers that have ended and were relayed whole, oldest first; then released chunks of running
- * answers; last the answers that have ended and were not relayed whole.
+ * The answers kept by a process, with a common bound on their bytes. Above the bound, data is
+ * evicted in this order: finished answers that were relayed completely, oldest first; released
+ * chunks of running answers; finished answers that were not relayed completely.
  *
  * <p>Thread-safe.
  */
@@ -28,8 +28,8 @@
   /**
    * Creates an empty set of buffers.
    *
-   * @param maximumBytes the bound on the data of all chunks
-   * @param maximumAnswers the most answers that are kept after their end
+   * @param maximumBytes bound on the data of all chunks, in bytes
+   * @param maximumAnswers maximum number of finished answers kept
    * @return the set
    */
   public static StreamBuffers create(long maximumBytes, int maximumAnswers) {
@@ -40,11 +40,11 @@
   }
 
   /**
-   * Opens the buffer of an attempt.
+   * Creates the buffer of an attempt.
    *
-   * @param attemptId the attempt
-   * @return its new buffer
-   * @throws IllegalStateException if the attempt has one: two generations must not share a buffer
+   * @param attemptId id of the attempt
+   * @return the new buffer
+   * @throws IllegalStateException if the attempt has a buffer; two generations must not share one
    */
   public synchronized StreamBuffer open(String attemptId) {
     if (find(attemptId).isPresent()) {
@@ -58,8 +58,8 @@
   /**
    * Finds the buffer of an attempt.
    *
-   * @param attemptId the attempt
-   * @return empty when it was never opened or is no longer kept
+   * @param attemptId id of the attempt
+   * @return empty if it was never created or was evicted
    */
   public synchronized Optional<StreamBuffer> find(String attemptId) {
     StreamBuffer buffer = running.get(attemptId);
@@ -67,54 +67,54 @@
   }
 
   /**
-   * Says whether a producer may go on. One that does not wait is not refused, but then the bound is
-   * passed by what it appends.
+   * Returns whether a producer may continue. A producer that does not wait is not refused, but what
+   * it appends exceeds the bound.
    *
-   * @return false when the bound is reached and nothing may be dropped
+   * @return false if the bound is reached and nothing can be evicted
    */
   public synchronized boolean hasRoom() {
-    makeRoom();
+    evictToBounds();
     return bytes < maximumBytes;
   }
 
   /**
-   * Returns the bytes kept.
+   * Returns the number of bytes kept.
    *
-   * @return the data of all chunks, added up
+   * @return total size of the data of all chunks
    */
   public synchronized long bytes() {
     return bytes;
   }
 
-  synchronized void grew(int length) {
+  synchronized void bytesAdded(int length) {
     bytes += length;
-    makeRoom();
+    evictToBounds();
   }
 
   synchronized void ended(StreamBuffer buffer) {
     running.remove(buffer.attemptId());
     finished.put(buffer.attemptId(), buffer);
-    makeRoom();
+    evictToBounds();
   }
 
-  private void makeRoom() {
-    dropFinished(StreamBuffer::isReleased);
+  private void evictToBounds() {
+    evictFinished(StreamBuffer::isReleased);
     for (StreamBuffer buffer : running.values()) {
       if (bytes <= maximumBytes) {
         return;
       }
-      bytes -= buffer.drop(bytes - maximumBytes);
+      bytes -= buffer.evict(bytes - maximumBytes);
     }
-    dropFinished(buffer -> true);
+    evictFinished(buffer -> true);
   }
 
-  private void dropFinished(Predicate<StreamBuffer> mayGo) {
+  private void evictFinished(Predicate<StreamBuffer> evictable) {
     Iterator<StreamBuffer> oldestFirst = finished.values().iterator();
     while (oldestFirst.hasNext() && (bytes > maximumBytes || finished.size() > maximumAnswers)) {
       StreamBuffer oldest = oldestFirst.next();
-      if (mayGo.test(oldest)) {
+      if (evictable.test(oldest)) {
         oldestFirst.remove();
-        bytes -= oldest.dropAll();
+        bytes -= oldest.evictAll();
       }
     }
   }
--- a/core/src/test/java/dev/ibishub/core/StreamBuffersTest.java
+++ b/core/src/test/java/dev/ibishub/core/StreamBuffersTest.java
@@ -9,8 +9,8 @@
   private final StreamBuffers buffers = StreamBuffers.create(10, 2);
 
   @Test
-  void chunksAreReadFromAnyKeptPositionOn() {
-    StreamBuffer buffer = filled("a", 3, 1);
+  void readsChunksFromAnyKeptPosition() {
+    StreamBuffer buffer = bufferWithChunks("a", 3, 1);
 
     assertThat(buffer.read(1, 10)).extracting(NumberedChunk::number).containsExactly(1L, 2L);
     assertThat(buffer.read(0, 1)).extracting(NumberedChunk::number).containsExactly(0L);
@@ -18,8 +18,8 @@
   }
 
   @Test
-  void endCarriesTotalsThatTheAssemblerChecks() {
-    StreamBuffer buffer = filled("a", 3, 1);
+  void endsWithTotalsThatAssemblerAccepts() {
+    StreamBuffer buffer = bufferWithChunks("a", 3, 1);
     buffer.end(AnswerEnd.success(7));
     AnswerAssembler answer = AnswerAssembler.forAttempt("a", 10);
 
@@ -29,8 +29,8 @@
   }
 
   @Test
-  void gapAndWriteAfterTheEndAreRefused() {
-    StreamBuffer buffer = filled("a", 1, 1);
+  void refusesGapAndAppendAfterEnd() {
+    StreamBuffer buffer = bufferWithChunks("a", 1, 1);
 
     assertThatThrownBy(() -> buffer.append(2, new byte[1]))
         .isInstanceOf(IllegalStateException.class);
@@ -40,10 +40,10 @@
   }
 
   @Test
-  void onlyReleasedChunksOfARunningAnswerAreDropped() {
-    // A caller on a slow phone loses the middle of its answer: the agent dropped chunks that had
-    // not been relayed yet.
-    StreamBuffer buffer = filled("a", 10, 1);
+  void evictsOnlyReleasedChunksOfRunningAnswer() {
+    // Guards against a gap in the answer of a slow caller: the agent evicts chunks that have not
+    // been relayed yet.
+    StreamBuffer buffer = bufferWithChunks("a", 10, 1);
     buffer.append(10, new byte[1]);
     assertThat(buffers.hasRoom()).isFalse();
     assertThat(buffer.read(0, 1)).hasSize(1);
@@ -56,14 +56,14 @@
   }
 
   @Test
-  void answerRelayedWholeGoesBeforeOneThatWasNot() {
-    StreamBuffer unread = filled("unread", 4, 1);
+  void evictsRelayedAnswerBeforeUnreadOne() {
+    StreamBuffer unread = bufferWithChunks("unread", 4, 1);
     unread.end(AnswerEnd.success(1));
-    StreamBuffer relayed = filled("relayed", 4, 1);
+    StreamBuffer relayed = bufferWithChunks("relayed", 4, 1);
     relayed.release(4);
     relayed.end(AnswerEnd.success(1));
 
-    filled("running", 4, 1);
+    bufferWithChunks("running", 4, 1);
 
     assertThat(buffers.find("relayed")).isEmpty();
     assertThat(buffers.find("unread")).isPresent();
@@ -72,7 +72,7 @@
   }
 
   @Test
-  void finishedAnswersAreBoundedInNumberOldestFirst() {
+  void evictsOldestFinishedAnswerAboveMaximumCount() {
     for (String attempt : new String[] {"a", "b", "c"}) {
       buffers.open(attempt).end(AnswerEnd.success(0));
     }
@@ -82,13 +82,13 @@
   }
 
   @Test
-  void attemptHasOneBufferOnly() {
+  void refusesSecondBufferOfAttempt() {
     buffers.open("a");
 
     assertThatThrownBy(() -> buffers.open("a")).isInstanceOf(IllegalStateException.class);
   }
 
-  private StreamBuffer filled(String attemptId, int chunks, int length) {
+  private StreamBuffer bufferWithChunks(String attemptId, int chunks, int length) {
     StreamBuffer buffer = buffers.open(attemptId);
     for (int number = 0; number < chunks; number++) {
       buffer.append(number, new byte[length]);
