--- a/core/src/test/java/dev/ibishub/core/RequestHistoryTest.java
+++ b/core/src/test/java/dev/ibishub/core/RequestHistoryTest.java
@@ -9,42 +9,46 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random histories of the real decision classes of two entries and two agents: messages and log
- * records late, lost, twice and out of order, agents killed, clocks running on.
+ * Runs the real decision classes of two entries and two agents through random histories: messages
+ * and log records are delayed, lost, repeated and reordered, agents are killed, and time passes.
  */
 class RequestHistoryTest {
   private static final int STEPS = 250;
 
   @Property(seed = "20260101", tries = 1_000)
-  void everyPromiseHoldsAtTheEndOfEachHistory(@ForAll @LongRange(min = 0) long seed) {
-    RequestWorld world = new RequestWorld(new Random(seed));
+  void runsOnceAndReportsTrueOutcomesInRandomHistories(@ForAll @LongRange(min = 0) long seed) {
+    RequestSimulation simulation = new RequestSimulation(new Random(seed));
 
     for (int step = 0; step < STEPS; step++) {
-      world.step();
+      simulation.step();
     }
-    world.settle();
-
-    assertThat(world.executions().values()).as("at most once, seed %d", seed).allMatch(n -> n == 1);
-    assertThat(world.saidNotRun()).as("not run, seed %d", seed).noneMatch(world.ran()::contains);
-    assertThat(world.wrongAnswers()).as("whole answers, seed %d", seed).isEmpty();
+    simulation.runToCompletion();
+
+    assertThat(simulation.executions().values())
+        .as("at most once, seed %d", seed)
+        .allMatch(n -> n == 1);
+    assertThat(simulation.reportedNotRun())
+        .as("not run, seed %d", seed)
+        .noneMatch(simulation.ran()::contains);
+    assertThat(simulation.corruptAnswers()).as("whole answers, seed %d", seed).isEmpty();
   }
 
   @Test
-  void historiesReachWhatTheyAreMeantToTest() {
-    // Were no call ever run, refused or answered, the property above would hold of nothing.
-    RequestWorld.Counts counts = new RequestWorld.Counts();
+  void coversAllOutcomesInRandomHistories() {
+    // If no call were ever run, refused or answered, the property above would hold trivially.
+    RequestSimulation.Counts counts = new RequestSimulation.Counts();
     for (int seed = 0; seed < 300; seed++) {
-      RequestWorld world = new RequestWorld(new Random(seed));
+      RequestSimulation simulation = new RequestSimulation(new Random(seed));
       for (int step = 0; step < STEPS; step++) {
-        world.step();
+        simulation.step();
       }
-      world.settle();
-      counts.add(world);
+      simulation.runToCompletion();
+      counts.add(simulation);
     }
 
     assertThat(counts.ran()).isPositive();
     assertThat(counts.notRun()).isPositive();
-    assertThat(counts.whole()).isPositive();
-    assertThat(counts.heldElsewhere()).isPositive();
+    assertThat(counts.completeAnswers()).isPositive();
+    assertThat(counts.claimsHeldElsewhere()).isPositive();
   }
 }
--- a/core/src/test/java/dev/ibishub/core/RequestWorld.java
+++ b/core/src/test/java/dev/ibishub/core/RequestSimulation.java
@@ -16,46 +16,46 @@
 import java.util.zip.CRC32C;
 
 /**
- * Two agents, the entries' trackers, the claims on the log and the messages between them. Every
- * step is one thing that may happen next; a process that gets no step is paused.
+ * A simulation of two agents, the entries' trackers, the claims on the log and the messages between
+ * them. Each step is one event that may happen next; a process without a step is paused.
  */
-final class RequestWorld {
+final class RequestSimulation {
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
-  private static final Duration PATIENCE = Duration.ofSeconds(10);
-  private static final int KEYS = 3;
-  private static final int CHUNKS = 3;
+  private static final Duration REQUEST_TIMEOUT = Duration.ofSeconds(10);
+  private static final int KEY_COUNT = 3;
+  private static final int CHUNK_COUNT = 3;
 
   private final RandomGenerator random;
   private final List<Runnable> network = new ArrayList<>();
   private final List<ClaimRecord> log = new ArrayList<>();
-  private final List<ClaimRecord> onTheWayToTheLog = new ArrayList<>();
-  private final List<AgentNode> agents =
-      List.of(new AgentNode("agent-0"), new AgentNode("agent-1"));
+  private final List<ClaimRecord> pendingAppends = new ArrayList<>();
+  private final List<SimulatedAgent> agents =
+      List.of(new SimulatedAgent("agent-0"), new SimulatedAgent("agent-1"));
   private final List<Submission> submissions = new ArrayList<>();
   private final Map<String, Integer> executions = new HashMap<>();
   private final Set<String> ran = new HashSet<>();
-  private final Set<String> saidNotRun = new HashSet<>();
-  private final List<String> wrongAnswers = new ArrayList<>();
+  private final Set<String> reportedNotRun = new HashSet<>();
+  private final List<String> corruptAnswers = new ArrayList<>();
   private Instant now = START;
-  private int wholeAnswers;
-  private int heldElsewhere;
+  private int completeAnswers;
+  private int claimsHeldElsewhere;
 
-  RequestWorld(RandomGenerator random) {
+  RequestSimulation(RandomGenerator random) {
     this.random = random;
   }
 
-  /** What many histories reached, added up. */
+  /** Totals over many simulated histories. */
   static final class Counts {
     private int ran;
     private int notRun;
-    private int whole;
-    private int heldElsewhere;
+    private int completeAnswers;
+    private int claimsHeldElsewhere;
 
-    void add(RequestWorld world) {
-      ran += world.ran.size();
-      notRun += world.saidNotRun.size();
-      whole += world.wholeAnswers;
-      heldElsewhere += world.heldElsewhere;
+    void add(RequestSimulation simulation) {
+      ran += simulation.ran.size();
+      notRun += simulation.reportedNotRun.size();
+      completeAnswers += simulation.completeAnswers;
+      claimsHeldElsewhere += simulation.claimsHeldElsewhere;
     }
 
     int ran() {
@@ -66,38 +66,41 @@
       return notRun;
     }
 
-    int whole() {
-      return whole;
+    int completeAnswers() {
+      return completeAnswers;
     }
 
-    int heldElsewhere() {
-      return heldElsewhere;
+    int claimsHeldElsewhere() {
+      return claimsHeldElsewhere;
     }
   }
 
   void step() {
     switch (random.nextInt(16)) {
       case 0 -> submit();
-      case 1, 2, 3, 4 -> take(network).ifPresent(Runnable::run);
-      case 5 -> pick(network).ifPresent(Runnable::run);
-      case 6 -> take(network);
-      case 7, 8 -> take(onTheWayToTheLog).ifPresent(log::add);
-      case 9 -> take(onTheWayToTheLog);
-      case 10, 11 -> pick(agents).ifPresent(AgentNode::readOne);
-      case 12 -> pick(agents).ifPresent(AgentNode::startOrGiveUpOne);
-      case 13 -> pick(submissions).ifPresent(Submission::loseLinkOrRevoke);
-      case 14 -> pick(submissions).ifPresent(Submission::answer);
-      default -> passTimeOrKill();
+      case 1, 2, 3, 4 -> removeRandom(network).ifPresent(Runnable::run);
+      case 5 -> pickRandom(network).ifPresent(Runnable::run);
+      case 6 -> removeRandom(network);
+      case 7, 8 -> removeRandom(pendingAppends).ifPresent(log::add);
+      case 9 -> removeRandom(pendingAppends);
+      case 10, 11 -> pickRandom(agents).ifPresent(SimulatedAgent::readOneRecord);
+      case 12 -> pickRandom(agents).ifPresent(SimulatedAgent::startOrGiveUpOneCall);
+      case 13 -> pickRandom(submissions).ifPresent(Submission::loseConnectionOrRevoke);
+      case 14 -> pickRandom(submissions).ifPresent(Submission::answer);
+      default -> advanceTimeOrRestartAgent();
     }
   }
 
-  /** Lets everything that is still under way happen, in order. */
-  void settle() {
+  /**
+   * Delivers the messages and records in transit in random order and runs the agents, for 2,000
+   * rounds, then ends every request.
+   */
+  void runToCompletion() {
     for (int round = 0; round < 2_000; round++) {
-      take(network).ifPresent(Runnable::run);
-      take(onTheWayToTheLog).ifPresent(log::add);
-      agents.forEach(AgentNode::readOne);
-      agents.forEach(AgentNode::startOrGiveUpOne);
+      removeRandom(network).ifPresent(Runnable::run);
+      removeRandom(pendingAppends).ifPresent(log::add);
+      agents.forEach(SimulatedAgent::readOneRecord);
+      agents.forEach(SimulatedAgent::startOrGiveUpOneCall);
     }
     submissions.forEach(Submission::answer);
   }
@@ -110,36 +113,36 @@
     return ran;
   }
 
-  Set<String> saidNotRun() {
-    return saidNotRun;
+  Set<String> reportedNotRun() {
+    return reportedNotRun;
   }
 
-  List<String> wrongAnswers() {
-    return wrongAnswers;
+  List<String> corruptAnswers() {
+    return corruptAnswers;
   }
 
   private void submit() {
-    Submission submission = new Submission("s" + submissions.size(), random.nextInt(KEYS));
+    Submission submission = new Submission("s" + submissions.size(), random.nextInt(KEY_COUNT));
     submissions.add(submission);
     submission.dispatch();
   }
 
-  private void passTimeOrKill() {
+  private void advanceTimeOrRestartAgent() {
     if (random.nextInt(6) == 0) {
-      pick(agents).ifPresent(AgentNode::restart);
+      pickRandom(agents).ifPresent(SimulatedAgent::restart);
       return;
     }
     now = now.plusMillis(random.nextInt(2_000));
     agents.forEach(agent -> agent.table.expire(now));
   }
 
-  private <T> Optional<T> pick(List<T> choices) {
+  private <T> Optional<T> pickRandom(List<T> choices) {
     return choices.isEmpty()
         ? Optional.empty()
         : Optional.of(choices.get(random.nextInt(choices.size())));
   }
 
-  private <T> Optional<T> take(List<T> choices) {
+  private <T> Optional<T> removeRandom(List<T> choices) {
     return choices.isEmpty()
         ? Optional.empty()
         : Optional.of(choices.remove(random.nextInt(choices.size())));
@@ -149,12 +152,12 @@
   private final class Submission {
     private final String name;
     private final IdempotencyKey key;
-    private final Instant deadline = now.plus(PATIENCE);
+    private final Instant deadline = now.plus(REQUEST_TIMEOUT);
     private final RequestTracker tracker = RequestTracker.of(Repeatability.ONCE_BY_CLAIM, deadline);
     private final ByteArrayOutputStream received = new ByteArrayOutputStream();
     private int attempts;
     private String attemptId;
-    private AgentNode agent;
+    private SimulatedAgent agent;
     private long incarnation;
     private AnswerAssembler assembler;
     private boolean answered;
@@ -167,26 +170,26 @@
     void dispatch() {
       attempts++;
       attemptId = name + "." + attempts;
-      agent = pick(agents).orElseThrow();
+      agent = pickRandom(agents).orElseThrow();
       incarnation = agent.self.incarnation();
-      assembler = AnswerAssembler.forAttempt(attemptId, CHUNKS + 1);
+      assembler = AnswerAssembler.forAttempt(attemptId, CHUNK_COUNT + 1);
       tracker.dispatched(attemptId, incarnation);
-      AgentNode to = agent;
-      long addressee = incarnation;
+      SimulatedAgent to = agent;
+      long addresseeIncarnation = incarnation;
       Call call = new Call(this, attemptId);
-      network.add(() -> to.dispatched(addressee, call));
+      network.add(() -> to.dispatched(addresseeIncarnation, call));
     }
 
-    void loseLinkOrRevoke() {
+    void loseConnectionOrRevoke() {
       if (random.nextBoolean()) {
-        AgentNode to = agent;
+        SimulatedAgent to = agent;
         String attempt = attemptId;
-        long addressee = to.self.incarnation();
-        network.add(() -> to.revoke(addressee, this, attempt));
+        long addresseeIncarnation = to.self.incarnation();
+        network.add(() -> to.revoke(addresseeIncarnation, this, attempt));
         return;
       }
       tracker.lost(attemptId, ResultCode.TARGET_LOST);
-      tryAgain();
+      dispatchAgainIfAllowed();
     }
 
     void revokeAnswered(String attempt, long from, boolean revoked) {
@@ -219,68 +222,68 @@
       answered = true;
       ResultCode code = tracker.giveUp(ResultCode.REVOKED, ResultCode.DEADLINE_PASSED_RUNNING);
       if (code.outcome() == Outcome.NOT_RUN) {
-        saidNotRun.add(name);
+        reportedNotRun.add(name);
       }
       if (code == ResultCode.OK) {
-        wholeAnswers++;
-        if (!received.toString(UTF_8).equals(answerTo(attemptId))) {
-          wrongAnswers.add(name);
+        completeAnswers++;
+        if (!received.toString(UTF_8).equals(expectedAnswer(attemptId))) {
+          corruptAnswers.add(name);
         }
       }
     }
 
     private void ended(String attempt, long from, ResultCode code) {
       tracker.ended(attempt, from, code);
-      tryAgain();
+      dispatchAgainIfAllowed();
     }
 
-    private void tryAgain() {
+    private void dispatchAgainIfAllowed() {
       if (!answered && attempts < 3 && tracker.mayDispatch(now)) {
         dispatch();
       }
     }
   }
 
-  /** One attempt as its agent sees it. */
+  /** One attempt as seen by its agent. */
   private record Call(Submission submission, String attemptId) {
     ClaimRequest claim() {
       return new ClaimRequest("w", submission.key, 1, attemptId, submission.deadline);
     }
   }
 
-  /** One target's agent. */
-  private final class AgentNode {
+  /** The agent of one target. */
+  private final class SimulatedAgent {
     private ProcessIncarnation self;
     private AttemptTable table;
     private ClaimLedger ledger;
     private int nextOffset;
-    private int endAtStart;
+    private int logSizeAtStart;
     private final List<Call> waiting = new ArrayList<>();
     private final List<Call> won = new ArrayList<>();
 
-    AgentNode(String name) {
+    SimulatedAgent(String name) {
       self = new ProcessIncarnation(name, 0);
-      begin();
+      reset();
     }
 
     void restart() {
       self = new ProcessIncarnation(self.process(), self.incarnation() + 1);
-      begin();
+      reset();
     }
 
-    private void begin() {
+    private void reset() {
       table =
           AttemptTable.create(
               new AttemptTableOptions(1, 64, Duration.ofMinutes(1), Duration.ofSeconds(1)));
       ledger = ClaimLedger.create(self, ClaimLedgerOptions.defaults());
       nextOffset = 0;
-      endAtStart = log.size();
+      logSizeAtStart = log.size();
       waiting.clear();
       won.clear();
     }
 
-    void dispatched(long addressee, Call call) {
-      if (addressee != self.incarnation()) {
+    void dispatched(long addresseeIncarnation, Call call) {
+      if (addresseeIncarnation != self.incarnation()) {
         return;
       }
       OfferResult offer = table.offer(call.attemptId(), call.submission().deadline, now);
@@ -291,42 +294,42 @@
       }
     }
 
-    void revoke(long addressee, Submission submission, String attempt) {
-      if (addressee != self.incarnation()) {
+    void revoke(long addresseeIncarnation, Submission submission, String attempt) {
+      if (addresseeIncarnation != self.incarnation()) {
         return;
       }
       boolean revoked = table.revoke(attempt, now);
-      network.add(() -> submission.revokeAnswered(attempt, addressee, revoked));
+      network.add(() -> submission.revokeAnswered(attempt, addresseeIncarnation, revoked));
     }
 
-    void readOne() {
+    void readOneRecord() {
       if (nextOffset >= log.size()) {
         return;
       }
       ClaimRecord record = log.get(nextOffset);
       nextOffset++;
       ledger.apply(record, now);
-      List<Call> decidable =
+      List<Call> affected =
           waiting.stream()
               .filter(call -> call.claim().claimKey().equals(record.claimKey()))
               .toList();
-      waiting.removeAll(decidable);
-      decidable.forEach(this::decide);
+      waiting.removeAll(affected);
+      affected.forEach(this::decide);
     }
 
-    void startOrGiveUpOne() {
+    void startOrGiveUpOneCall() {
       if (won.isEmpty() || random.nextInt(4) == 0) {
-        take(waiting).ifPresent(this::giveUp);
+        removeRandom(waiting).ifPresent(this::giveUp);
       }
-      take(won).ifPresent(this::start);
+      removeRandom(won).ifPresent(this::start);
     }
 
     private void claim(Call call) {
-      if (nextOffset < endAtStart) {
+      if (nextOffset < logSizeAtStart) {
         withdraw(call, ResultCode.NOT_READY);
       } else if (!decide(call)) {
         waiting.add(call);
-        onTheWayToTheLog.add(new ClaimRecord(self, "w", call.submission().key, 1));
+        pendingAppends.add(new ClaimRecord(self, "w", call.submission().key, 1));
       }
     }
 
@@ -335,7 +338,7 @@
       if (result.isPresent() && result.get() instanceof ClaimResult.Won) {
         won.add(call);
       } else if (result.isPresent()) {
-        heldElsewhere++;
+        claimsHeldElsewhere++;
         table.revoke(call.attemptId(), now);
         refuse(call, ResultCode.ALREADY_RUNNING);
       }
@@ -359,12 +362,12 @@
     }
 
     private void sendAnswer(Call call) {
-      byte[] whole = answerTo(call.attemptId()).getBytes(UTF_8);
+      byte[] wholeAnswer = expectedAnswer(call.attemptId()).getBytes(UTF_8);
       CRC32C checksum = new CRC32C();
-      checksum.update(whole);
-      AnswerEnd end = AnswerEnd.success(1).withTotals(CHUNKS, (int) checksum.getValue());
+      checksum.update(wholeAnswer);
+      AnswerEnd end = AnswerEnd.success(1).withTotals(CHUNK_COUNT, (int) checksum.getValue());
       long from = self.incarnation();
-      for (int number = 0; number < CHUNKS; number++) {
+      for (int number = 0; number < CHUNK_COUNT; number++) {
         int chunk = number;
         byte[] data = chunkOf(call.attemptId(), chunk).getBytes(UTF_8);
         network.add(() -> call.submission().chunk(call.attemptId(), chunk, data));
@@ -385,7 +388,7 @@
     }
   }
 
-  private static String answerTo(String attemptId) {
+  private static String expectedAnswer(String attemptId) {
     return chunkOf(attemptId, 0) + chunkOf(attemptId, 1) + chunkOf(attemptId, 2);
   }
 
