--- a/core/src/main/java/dev/ibishub/core/GroupLeader.java
+++ b/core/src/main/java/dev/ibishub/core/GroupLeader.java
@@ -1,9 +1,9 @@
 package dev.ibishub.core;
 
 import dev.ibishub.core.GroupCommand.Kind;
-import dev.ibishub.core.internal.experts.Mender;
+import dev.ibishub.core.internal.experts.HoldStepEstimator;
+import dev.ibishub.core.internal.experts.MapReconciler;
 import dev.ibishub.core.internal.experts.Outbox;
-import dev.ibishub.core.internal.experts.StepForecast;
 import java.time.Instant;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -15,13 +15,16 @@
 import java.util.stream.IntStream;
 
 /**
- * Leads one group of ranks: takes over from an earlier leader, then switches the expert map so that
- * in every step all ranks use the same one. It owns nothing: a leader may end or be paused at any
- * moment, and the next one, with a higher epoch, finds out from the ranks what was decided. It
- * needs neither a log nor a lease.
+ * Leader of one group of ranks when ibishub runs behind its own interface: takes over from an
+ * earlier leader, then switches the expert map such that all ranks use the same map in every step.
+ * {@code dev.ibishub.core.ranks.MapSwitch} is its counterpart on the platform of its users.
  *
- * <p>The caller sends what {@link #poll} gives, hands in what comes back by {@link #onReply}, and
- * calls {@link #poll} again at the latest at {@link #wakeAt}. Not thread-safe.
+ * <p>A leader keeps no durable state, and needs neither a log nor a lease: it may stop or be paused
+ * at any moment, and the next leader, which has a higher epoch, learns from the ranks what was
+ * decided.
+ *
+ * <p>The caller sends the commands that {@link #poll} returns, passes replies to {@link #onReply},
+ * and calls {@link #poll} again no later than {@link #wakeAt}. Not thread-safe.
  */
 public final class GroupLeader {
   private final String group;
@@ -29,8 +32,8 @@
   private final long epoch;
   private final GroupLeaderOptions options;
   private final Outbox outbox;
-  private final Mender mender;
-  private final StepForecast forecast;
+  private final MapReconciler reconciler;
+  private final HoldStepEstimator holdStepEstimator;
   private final RankStatus[] statuses;
   private final boolean[] answered;
   private final Map<Long, byte[]> knownMaps = new HashMap<>();
@@ -38,7 +41,7 @@
   private Phase phase = Phase.PREPARING;
   private long incarnation;
   private long highestSeenIncarnation;
-  private boolean memoryLost;
+  private boolean joinRequired;
   private long highestSeenEpoch;
   private long version;
   private long stagedVersion;
@@ -54,34 +57,34 @@
     this.epoch = epoch;
     this.options = options;
     this.outbox = new Outbox(ranks, options.retryAfter());
-    this.mender = new Mender(ranks);
-    this.forecast = new StepForecast(options.minimumLeadSteps());
+    this.reconciler = new MapReconciler(ranks);
+    this.holdStepEstimator = new HoldStepEstimator(options.minimumLeadSteps());
     this.statuses = new RankStatus[ranks];
     this.answered = new boolean[ranks];
   }
 
-  /** What a leader is doing. */
+  /** Phase of a leader. */
   public enum Phase {
-    /** Asking all ranks for their promise and state. */
+    /** Asking every rank to promise this epoch and to report its state. */
     PREPARING,
-    /** Bringing a rank that lost its memory in, under a new incarnation. */
+    /** Readmitting a rank that lost its state, under a new group incarnation. */
     JOINING,
-    /** Finishing what was decided, or releasing holds where nothing was. */
+    /** Completing the newest decided commit, or releasing holds where nothing was decided. */
     MENDING,
-    /** Telling all ranks that all have the commit. */
+    /** Telling every rank that all ranks have the commit. */
     FORGETTING,
-    /** All ranks use one map and none is held. */
+    /** All ranks use one map and no step is held. */
     READY,
-    /** Having the next map made ready. */
+    /** Distributing the next map and waiting until every rank has staged it. */
     STAGING,
-    /** Having all ranks hold the step from which the next map is to be used. */
+    /** Having every rank hold the step from which the next map will be used. */
     HOLDING,
-    /** A rank has promised a higher epoch: another leader leads. */
+    /** Superseded: a rank has promised a higher epoch to another leader. */
     DEPOSED
   }
 
   /**
-   * A command and the rank it is for.
+   * Command with the rank that it is addressed to.
    *
    * @param rank the rank's number, from 0
    * @param command the command
@@ -89,12 +92,13 @@
   public record Addressed(int rank, GroupCommand command) {}
 
   /**
-   * Creates a leader that starts by taking over.
+   * Creates a leader in {@link Phase#PREPARING}.
    *
    * @param group the group's name
-   * @param ranks how many ranks the group has; all must answer
-   * @param epoch this leader's number; no two leaders of a group ever have the same
-   * @param options times and margins
+   * @param ranks number of ranks in the group; the leader makes progress only when all of them
+   *     answer
+   * @param epoch this leader's epoch, unique among all leaders of the group
+   * @param options timeouts and margins
    * @return the leader
    */
   public static GroupLeader create(
@@ -106,34 +110,35 @@
   }
 
   /**
-   * Asks for a switch to another map. Only one switch is under way at a time.
+   * Starts a switch to another map. Only one switch is in progress at a time.
    *
-   * @param map the map's bytes
-   * @return the version given to the map, or empty when the leader is not {@link Phase#READY}
+   * @param map the serialized map
+   * @return the version assigned to the map, or empty when the leader is not {@link Phase#READY} or
+   *     its epoch has no versions left
    */
   public Optional<Long> offer(byte[] map) {
     if (phase != Phase.READY) {
       return Optional.empty();
     }
-    // Built on the epoch, so that two leaders never give one number to two maps: a rank that staged
-    // the map of the one would take the commit of the other for it.
-    long first = epoch * GroupLeaderOptions.MAPS_AN_EPOCH;
-    stagedVersion = Math.max(first, Math.max(version, stagedVersion)) + 1;
-    if (stagedVersion >= first + GroupLeaderOptions.MAPS_AN_EPOCH) {
+    // Versions are derived from the epoch so that two leaders never assign one version to two maps:
+    // a rank that staged one leader's map would accept the other leader's commit for it.
+    long firstVersion = epoch * GroupLeaderOptions.MAPS_PER_EPOCH;
+    stagedVersion = Math.max(firstVersion, Math.max(version, stagedVersion)) + 1;
+    if (stagedVersion >= firstVersion + GroupLeaderOptions.MAPS_PER_EPOCH) {
       return Optional.empty();
     }
-    knownMaps.keySet().removeIf(known -> known != version);
+    knownMaps.keySet().removeIf(knownVersion -> knownVersion != version);
     knownMaps.put(stagedVersion, map.clone());
     outbox.clear();
-    enter(Phase.STAGING);
+    enterPhase(Phase.STAGING);
     return Optional.of(stagedVersion);
   }
 
   /**
-   * Gives the commands to send now, first copies and repeats alike.
+   * Returns the commands to send now, both new ones and retransmissions.
    *
-   * @param now the time
-   * @return the commands, at most one a rank
+   * @param now the current time
+   * @return the commands, at most one for each rank
    */
   public List<Addressed> poll(Instant now) {
     if (phase == Phase.HOLDING && now.isAfter(holdUntil)) {
@@ -144,39 +149,40 @@
       Arrays.fill(answered, false);
     }
     advance(now);
-    return outbox.due(now);
+    return outbox.dueCommands(now);
   }
 
   /**
-   * Takes a rank's answer. Late and repeated answers are ignored.
+   * Processes a rank's reply. Late and duplicate replies are ignored.
    *
-   * @param reply the answer
-   * @param now the time
+   * @param reply the reply
+   * @param now the current time
    */
   public void onReply(GroupReply reply, Instant now) {
     highestSeenEpoch = Math.max(highestSeenEpoch, reply.highestEpoch());
-    // An engine that checks numbers can remember a later leader that its restarted agent forgot.
-    boolean engineRefuses =
+    // An engine that checks fencing tokens may know of a later leader that its restarted agent has
+    // forgotten.
+    boolean refusedByEngine =
         reply.epoch() == epoch && reply.code() == ResultCode.STALE_FENCING_TOKEN;
-    if (reply.highestEpoch() > epoch || engineRefuses) {
+    if (reply.highestEpoch() > epoch || refusedByEngine) {
       phase = Phase.DEPOSED;
     }
     if (phase == Phase.DEPOSED || reply.epoch() != epoch) {
       return;
     }
-    Optional<Outbox.Sent> sent = outbox.take(reply, now);
-    if (sent.isEmpty()) {
+    Optional<Outbox.PendingCommand> pending = outbox.removeAnswered(reply, now);
+    if (pending.isEmpty()) {
       return;
     }
     if (reply.kind() != Kind.STAGE) {
-      // Staging waits for weights, which says nothing about how long a hold will take.
-      forecast.onAnswer(sent.get().firstSentAt(), now);
+      // Staging waits for weights to load, so its duration says nothing about that of a hold.
+      holdStepEstimator.onAnswer(pending.get().firstSentAt(), now);
     }
     if (reply.status() != null) {
-      keep(reply.rank(), reply.status());
+      storeStatus(reply.rank(), reply.status());
     }
     highestSeenIncarnation = Math.max(highestSeenIncarnation, reply.incarnation());
-    accept(reply, sent.get(), now);
+    handleReply(reply, pending.get(), now);
     advance(now);
   }
 
@@ -184,12 +190,12 @@
     return phase;
   }
 
-  /** Returns the version of the map that all ranks use or are being brought to, 0 for none. */
+  /** Returns the version of the map that all ranks use or are being moved to, 0 for none. */
   public long version() {
     return version;
   }
 
-  /** Returns the bytes of {@link #version}, or empty when no rank has reported them. */
+  /** Returns the serialized map of {@link #version}, or empty when no rank has reported it. */
   public Optional<byte[]> map() {
     return Optional.ofNullable(knownMaps.get(version)).map(byte[]::clone);
   }
@@ -202,41 +208,45 @@
     return switches;
   }
 
-  /** Returns how many switches were given up before the commit, mostly for a hold come late. */
+  /**
+   * Returns the number of switches abandoned before the commit, mostly because a hold arrived late.
+   */
   public int failedSwitches() {
     return failedSwitches;
   }
 
-  /** Returns the last state heard from each rank; empty until all have answered once. */
+  /**
+   * Returns the latest status of each rank, or an empty list until every rank has answered once.
+   */
   public List<RankStatus> statuses() {
     return Arrays.stream(statuses).anyMatch(Objects::isNull) ? List.of() : List.of(statuses);
   }
 
-  /** Returns when {@link #poll} is to be called at the latest. */
+  /** Returns the latest time at which {@link #poll} must be called again. */
   public Instant wakeAt() {
-    Instant next = outbox.nextRepeatAt();
+    Instant next = outbox.earliestSendAt();
     if (phase == Phase.HOLDING && holdUntil.isBefore(next)) {
       next = holdUntil;
     }
     return phase == Phase.READY && refreshAt.isBefore(next) ? refreshAt : next;
   }
 
-  private void accept(GroupReply reply, Outbox.Sent sent, Instant now) {
+  private void handleReply(GroupReply reply, Outbox.PendingCommand pending, Instant now) {
     if (reply.code() == ResultCode.OK) {
-      accepted(reply.rank(), sent);
+      onAccepted(reply.rank(), pending);
       return;
     }
     if (reply.code() == ResultCode.UNKNOWN_INCARNATION) {
-      memoryLost = true;
+      joinRequired = true;
       if (reply.kind() == Kind.PREPARE) {
         answered[reply.rank()] = true;
       } else {
-        prepareAnew();
+        restartPreparing();
       }
       return;
     }
     if (phase == Phase.HOLDING && reply.code() == ResultCode.STEP_ALREADY_PASSED) {
-      forecast.onLateHold();
+      holdStepEstimator.onLateHold();
       abandonSwitch();
       return;
     }
@@ -246,21 +256,21 @@
             || reply.code() == ResultCode.STALE_EPOCH
             || reply.code() == ResultCode.PROTOCOL_VIOLATION;
     if (stateDiffers && phase != Phase.PREPARING) {
-      prepareAnew();
+      restartPreparing();
       return;
     }
-    // Outcome unknown or the engine busy: the same command again, which is idempotent.
-    outbox.putBack(reply.rank(), sent, now);
+    // Outcome unknown or engine busy: retries the same command, which is idempotent.
+    outbox.requeue(reply.rank(), pending, now);
   }
 
-  private void accepted(int rank, Outbox.Sent sent) {
+  private void onAccepted(int rank, Outbox.PendingCommand pending) {
     answered[rank] = true;
-    if (phase == Phase.MENDING && sent.command().kind() == Kind.COMMIT) {
-      mender.onCommitted(rank, sent.command().mapVersion());
+    if (phase == Phase.MENDING && pending.command().kind() == Kind.COMMIT) {
+      reconciler.onCommitted(rank, pending.command().mapVersion());
     }
   }
 
-  private void keep(int rank, RankStatus status) {
+  private void storeStatus(int rank, RankStatus status) {
     statuses[rank] = status;
     if (status.map().length > 0 && status.mapVersion() > 0) {
       knownMaps.put(status.mapVersion(), status.map());
@@ -268,148 +278,148 @@
   }
 
   private void advance(Instant now) {
-    Phase before;
+    Phase previousPhase;
     do {
-      before = phase;
-      step(now);
-    } while (before != phase);
+      previousPhase = phase;
+      runPhase(now);
+    } while (previousPhase != phase);
   }
 
-  private void step(Instant now) {
+  private void runPhase(Instant now) {
     switch (phase) {
       case PREPARING -> {
-        askAll(rank -> command(Kind.PREPARE, 0, 0));
-        whenAllAnswered(this::afterPrepare);
+        enqueueForUnanswered(rank -> command(Kind.PREPARE, 0, 0));
+        whenAllAnswered(this::joinOrReconcile);
       }
       case JOINING -> {
-        askAll(rank -> command(Kind.JOIN, 0, 0));
-        whenAllAnswered(this::takeStock);
+        enqueueForUnanswered(rank -> command(Kind.JOIN, 0, 0));
+        whenAllAnswered(this::beginReconciling);
       }
-      case MENDING -> mend(now);
+      case MENDING -> reconcile(now);
       case FORGETTING -> {
-        askAll(rank -> command(Kind.FORGET, version, 0));
+        enqueueForUnanswered(rank -> command(Kind.FORGET, version, 0));
         whenAllAnswered(this::becomeReady);
       }
       case READY -> {
-        askAll(rank -> command(Kind.PREPARE, 0, 0));
-        if (allAnswered() && needsMending()) {
-          afterPrepare();
+        enqueueForUnanswered(rank -> command(Kind.PREPARE, 0, 0));
+        if (allAnswered() && needsReconciling()) {
+          joinOrReconcile();
         }
       }
       case STAGING -> {
-        askAll(rank -> command(Kind.STAGE, stagedVersion, 0));
+        enqueueForUnanswered(rank -> command(Kind.STAGE, stagedVersion, 0));
         whenAllAnswered(() -> beginHold(now));
       }
       case HOLDING -> {
-        askAll(rank -> command(Kind.HOLD, stagedVersion, holdStep));
-        whenAllAnswered(this::decideCommit);
+        enqueueForUnanswered(rank -> command(Kind.HOLD, stagedVersion, holdStep));
+        whenAllAnswered(this::beginCommit);
       }
       case DEPOSED -> outbox.clear();
       default -> throw new IllegalStateException(phase.name());
     }
   }
 
-  private void afterPrepare() {
-    if (!memoryLost) {
-      takeStock();
+  private void joinOrReconcile() {
+    if (!joinRequired) {
+      beginReconciling();
       return;
     }
-    memoryLost = false;
+    joinRequired = false;
     incarnation = highestSeenIncarnation + 1;
     outbox.clear();
-    enter(Phase.JOINING);
+    enterPhase(Phase.JOINING);
   }
 
   // A rank that knows of a commit, or already uses a map that others do not, proves that an earlier
-  // leader had every rank's hold and decided. All have answered and refuse that leader from now on,
-  // so where none knows of a commit there is none and never will be, and releasing is safe.
-  private void takeStock() {
+  // leader had every rank's hold and decided. All ranks have answered and now refuse that leader,
+  // so if none of them knows of a commit there is none and never will be, and releasing is safe.
+  private void beginReconciling() {
     incarnation = highestSeenIncarnation;
-    // Where every engine started anew nothing runs, and what was committed may be lost with them.
+    // If every engine restarted, nothing is running, and a committed map may be lost with them.
     boolean allFresh = Arrays.stream(statuses).allMatch(RankStatus::isFresh);
-    version = allFresh ? 0 : newestDecided();
-    mender.start(version);
+    version = allFresh ? 0 : newestDecidedVersion();
+    reconciler.start(version);
     outbox.clear();
-    enter(Phase.MENDING);
+    enterPhase(Phase.MENDING);
   }
 
-  private long newestDecided() {
+  private long newestDecidedVersion() {
     return Arrays.stream(statuses)
         .mapToLong(status -> Math.max(status.mapVersion(), status.committedMapVersion()))
         .max()
         .orElse(0);
   }
 
-  private void decideCommit() {
+  private void beginCommit() {
     version = stagedVersion;
     switches++;
-    mender.start(version);
+    reconciler.start(version);
     outbox.clear();
-    enter(Phase.MENDING);
+    enterPhase(Phase.MENDING);
   }
 
-  // Asking anew raises the sequence at every rank, so a copy of the hold that is still under way is
-  // refused when it comes, and the state heard next is the whole truth about who holds.
+  // Preparing again raises the sequence at every rank, so a copy of the hold that is still in
+  // flight is refused on arrival, and the states reported next show exactly which ranks hold.
   private void abandonSwitch() {
     failedSwitches++;
-    prepareAnew();
+    restartPreparing();
   }
 
-  private void mend(Instant now) {
-    Mender.Step[] next = mender.next(statuses, knownMaps, holdStep);
-    if (Arrays.stream(next).allMatch(Mender.Step::isDone)) {
-      enter(Phase.FORGETTING);
+  private void reconcile(Instant now) {
+    MapReconciler.Action[] next = reconciler.next(statuses, knownMaps, holdStep);
+    if (Arrays.stream(next).allMatch(MapReconciler.Action::isDone)) {
+      enterPhase(Phase.FORGETTING);
       return;
     }
-    // Where one rank waits for the others to get on, or for a map's bytes, the answer may lie with
-    // any rank: all are asked again, with a pause.
-    boolean waits = Arrays.stream(next).anyMatch(step -> step.kind() == Kind.PREPARE);
+    // If a rank waits for the progress of others or for the bytes of a map, any rank may have the
+    // answer, so all are polled again after a pause.
+    boolean anyWaiting = Arrays.stream(next).anyMatch(action -> action.kind() == Kind.PREPARE);
     IntStream.range(0, ranks)
-        .filter(rank -> outbox.isFree(rank) && (waits || !next[rank].isDone()))
-        .forEach(rank -> putMending(rank, next[rank], now));
+        .filter(rank -> outbox.isFree(rank) && (anyWaiting || !next[rank].isDone()))
+        .forEach(rank -> enqueueAction(rank, next[rank], now));
   }
 
-  private void putMending(int rank, Mender.Step step, Instant now) {
-    if (step.isDone() || step.kind() == Kind.PREPARE) {
+  private void enqueueAction(int rank, MapReconciler.Action action, Instant now) {
+    if (action.isDone() || action.kind() == Kind.PREPARE) {
       outbox.putAt(rank, command(Kind.PREPARE, 0, 0), now.plus(options.pollAfter()));
       return;
     }
-    outbox.put(rank, command(step.kind(), step.version(), step.step()));
+    outbox.put(rank, command(action.kind(), action.version(), action.step()));
   }
 
   private void becomeReady() {
     refreshAt = Instant.MIN;
-    enter(Phase.READY);
+    enterPhase(Phase.READY);
     Arrays.fill(answered, true);
   }
 
   private void beginHold(Instant now) {
-    holdStep = forecast.holdStep(statuses);
+    holdStep = holdStepEstimator.holdStep(statuses);
     holdUntil = now.plus(options.holdFor());
-    enter(Phase.HOLDING);
+    enterPhase(Phase.HOLDING);
   }
 
-  private void prepareAnew() {
+  private void restartPreparing() {
     outbox.clear();
-    enter(Phase.PREPARING);
+    enterPhase(Phase.PREPARING);
   }
 
-  private void enter(Phase next) {
+  private void enterPhase(Phase next) {
     phase = next;
     Arrays.fill(answered, false);
   }
 
-  private void askAll(IntFunction<GroupCommand> question) {
+  private void enqueueForUnanswered(IntFunction<GroupCommand> commandFor) {
     IntStream.range(0, ranks)
         .filter(rank -> !answered[rank] && outbox.isFree(rank))
-        .forEach(rank -> outbox.put(rank, question.apply(rank)));
+        .forEach(rank -> outbox.put(rank, commandFor.apply(rank)));
   }
 
-  private boolean needsMending() {
-    return memoryLost || Arrays.stream(statuses).anyMatch(this::holdsForNothing);
+  private boolean needsReconciling() {
+    return joinRequired || Arrays.stream(statuses).anyMatch(this::hasStrayHold);
   }
 
-  private boolean holdsForNothing(RankStatus status) {
+  private boolean hasStrayHold(RankStatus status) {
     return status.holdStep() != 0 && status.committedMapVersion() != version;
   }
 
--- a/core/src/main/java/dev/ibishub/core/GroupLeaderOptions.java
+++ b/core/src/main/java/dev/ibishub/core/GroupLeaderOptions.java
@@ -3,13 +3,14 @@
 import java.time.Duration;
 
 /**
- * Times and margins of a {@link GroupLeader}.
+ * Timeouts and margins of a {@link GroupLeader}.
  *
- * @param retryAfter how long to wait for an answer before the same command goes out again
- * @param pollAfter how often ranks are asked anew while one waits for the others
- * @param refreshAfter how often the ranks' state is read while nothing else is to be done
- * @param holdFor how long all holds may take before the switch is given up
- * @param minimumLeadSteps at least how many steps ahead a hold is placed
+ * @param retryAfter time without a reply after which a command is retransmitted
+ * @param pollAfter interval at which ranks are polled while one waits for the others
+ * @param refreshAfter interval at which the states of the ranks are refreshed while no switch is in
+ *     progress
+ * @param holdFor time within which all ranks must hold, else the switch is abandoned
+ * @param minimumLeadSteps minimum number of steps between the newest step reported and the held one
  */
 public record GroupLeaderOptions(
     Duration retryAfter,
@@ -17,17 +18,17 @@
     Duration refreshAfter,
     Duration holdFor,
     int minimumLeadSteps) {
-  /** How many maps one epoch can number. */
-  public static final long MAPS_AN_EPOCH = 1L << 16;
+  /** Number of map versions available to one epoch. */
+  public static final long MAPS_PER_EPOCH = 1L << 16;
 
-  /** Checks that times and margins are positive. */
+  /** Checks that {@code retryAfter} and {@code minimumLeadSteps} are positive. */
   public GroupLeaderOptions {
     if (retryAfter.isNegative() || retryAfter.isZero() || minimumLeadSteps < 1) {
       throw new IllegalArgumentException("retryAfter and minimumLeadSteps must be positive");
     }
   }
 
-  /** Returns the options for ranks one or two milliseconds away and steps of five. */
+  /** Returns options for ranks 1 to 2 ms away and steps of 5 ms. */
   public static GroupLeaderOptions defaults() {
     return new GroupLeaderOptions(
         Duration.ofMillis(200),
--- a/core/src/main/java/dev/ibishub/core/internal/experts/Outbox.java
+++ b/core/src/main/java/dev/ibishub/core/internal/experts/Outbox.java
@@ -11,40 +11,43 @@
 import java.util.Objects;
 import java.util.Optional;
 
-/** At most one unanswered command a rank, repeated until it is answered. Not thread-safe. */
+/**
+ * Commands awaiting a reply, at most one for each rank, which are retransmitted until answered. Not
+ * thread-safe.
+ */
 public final class Outbox {
-  private final Sent[] unanswered;
+  private final PendingCommand[] pendingByRank;
   private final Duration retryAfter;
   private long sequence;
 
   /**
    * Creates an empty outbox.
    *
-   * @param ranks how many ranks there are
-   * @param retryAfter when a command goes out again
+   * @param ranks number of ranks
+   * @param retryAfter time without a reply after which a command is retransmitted
    */
   public Outbox(int ranks, Duration retryAfter) {
-    this.unanswered = new Sent[ranks];
+    this.pendingByRank = new PendingCommand[ranks];
     this.retryAfter = retryAfter;
   }
 
   /**
-   * A command on its way.
+   * Command awaiting a reply.
    *
    * @param command the command
-   * @param firstSentAt when it went out first, or null
-   * @param repeatAt when it goes out next
+   * @param firstSentAt when it was first sent or requeued, or null if it has not been sent
+   * @param nextSendAt when it is to be sent next
    */
-  public record Sent(GroupCommand command, Instant firstSentAt, Instant repeatAt) {}
+  public record PendingCommand(GroupCommand command, Instant firstSentAt, Instant nextSendAt) {}
 
-  /** Numbers the next command. */
+  /** Returns the sequence number for the next command. */
   public long nextSequence() {
     sequence++;
     return sequence;
   }
 
   public boolean isFree(int rank) {
-    return unanswered[rank] == null;
+    return pendingByRank[rank] == null;
   }
 
   public void put(int rank, GroupCommand command) {
@@ -52,51 +55,58 @@
   }
 
   public void putAt(int rank, GroupCommand command, Instant sendAt) {
-    unanswered[rank] = new Sent(command, null, sendAt);
+    pendingByRank[rank] = new PendingCommand(command, null, sendAt);
   }
 
-  /** Keeps a command that must go out again, no sooner than the usual wait. */
-  public void putBack(int rank, Sent sent, Instant now) {
-    if (unanswered[rank] == null) {
-      unanswered[rank] = new Sent(sent.command(), now, now.plus(retryAfter));
+  /**
+   * Queues a command for another attempt after the retry interval, unless another one is pending.
+   */
+  public void requeue(int rank, PendingCommand pending, Instant now) {
+    if (pendingByRank[rank] == null) {
+      pendingByRank[rank] = new PendingCommand(pending.command(), now, now.plus(retryAfter));
     }
   }
 
   public void clear() {
-    Arrays.fill(unanswered, null);
+    Arrays.fill(pendingByRank, null);
   }
 
-  /** Takes out the command that a reply answers; empty for a late or repeated reply. */
-  public Optional<Sent> take(GroupReply reply, Instant now) {
-    Sent sent = unanswered[reply.rank()];
-    if (sent == null || sent.command().sequence() != reply.sequence()) {
+  /** Removes and returns the command that a reply answers; empty for a late or duplicate reply. */
+  public Optional<PendingCommand> removeAnswered(GroupReply reply, Instant now) {
+    PendingCommand pending = pendingByRank[reply.rank()];
+    if (pending == null || pending.command().sequence() != reply.sequence()) {
       return Optional.empty();
     }
-    unanswered[reply.rank()] = null;
+    pendingByRank[reply.rank()] = null;
     return Optional.of(
-        new Sent(
-            sent.command(), Objects.requireNonNullElse(sent.firstSentAt(), now), sent.repeatAt()));
+        new PendingCommand(
+            pending.command(),
+            Objects.requireNonNullElse(pending.firstSentAt(), now),
+            pending.nextSendAt()));
   }
 
-  /** Gives the commands due and sets when they go out again. */
-  public List<Addressed> due(Instant now) {
+  /** Returns the commands that are due and schedules their retransmission. */
+  public List<Addressed> dueCommands(Instant now) {
     List<Addressed> due = new ArrayList<>();
-    for (int rank = 0; rank < unanswered.length; rank++) {
-      Sent sent = unanswered[rank];
-      if (sent != null && !sent.repeatAt().isAfter(now)) {
-        Instant first = Objects.requireNonNullElse(sent.firstSentAt(), now);
-        unanswered[rank] = new Sent(sent.command(), first, now.plus(retryAfter));
-        due.add(new Addressed(rank, sent.command()));
+    for (int rank = 0; rank < pendingByRank.length; rank++) {
+      PendingCommand pending = pendingByRank[rank];
+      if (pending != null && !pending.nextSendAt().isAfter(now)) {
+        Instant firstSentAt = Objects.requireNonNullElse(pending.firstSentAt(), now);
+        pendingByRank[rank] =
+            new PendingCommand(pending.command(), firstSentAt, now.plus(retryAfter));
+        due.add(new Addressed(rank, pending.command()));
       }
     }
     return due;
   }
 
-  /** Returns when a command goes out next, or {@link Instant#MAX}. */
-  public Instant nextRepeatAt() {
-    return Arrays.stream(unanswered)
+  /**
+   * Returns the earliest time at which a command is due, or {@link Instant#MAX} if none is pending.
+   */
+  public Instant earliestSendAt() {
+    return Arrays.stream(pendingByRank)
         .filter(Objects::nonNull)
-        .map(Sent::repeatAt)
+        .map(PendingCommand::nextSendAt)
         .min(Instant::compareTo)
         .orElse(Instant.MAX);
   }
--- a/spec/expert-map.pml
+++ b/spec/expert-map.pml
@@ -2,7 +2,7 @@
  * The switch of a group's expert map: in every step all ranks use one map.
  *
  * Implemented by dev.ibishub.core.RankGate (agent), dev.ibishub.core.GroupLeader and
- * dev.ibishub.core.internal.experts.Mender (entry). The log has no part in it.
+ * dev.ibishub.core.internal.experts.MapReconciler (entry). The log has no part in it.
  *
  * Bounds: 2 ranks, 2 leaders (epochs 1 and 2, both alive at any time, each may end at any moment),
  * 3 steps, at most 3 rounds of
@@ -337,8 +337,8 @@
 #define LOST(r) (!member[r] || promised[r] != 2)
 #define STALE(r) (FRESH(r) != (inUse[r] == 0) || IN_USE(r) != (inUse[r] == NEW) || HOLDS(r) != (hold[r] != 0))
 
-/* Mender.next. An engine without a map is first brought in with the old one if the commit is for a
- * later step; then it, like the others, is brought over. */
+/* MapReconciler.next. An engine without a map is first brought in with the old one if the commit is
+ * for a later step; then it, like the others, is brought over. */
 #define BRING_IN(r) (version == NEW && FRESH(r) && !BYTES_KNOWN && !FRESH(1 - r) && step[r] + 1 < HELD)
 #define BRING_OVER(r) (version == NEW && !BRING_IN(r) && !IN_USE(r))
 #define GET_OLD(r) (version != NEW && FRESH(r) || BRING_IN(r) && DONE_AT(MEND_HOLD, r))
