--- a/core/src/main/java/dev/ibishub/core/ExpertMap.java
+++ b/core/src/main/java/dev/ibishub/core/ExpertMap.java
@@ -3,11 +3,13 @@
 import java.util.Arrays;
 
 /**
- * Which expert each physical slot of each layer holds. Every rank has the same number of slots a
- * layer; slots beyond one an expert hold replicas. Immutable, so thread-safe.
+ * Expert held by each physical slot of each layer. Every rank has the same number of slots in each
+ * layer; slots in excess of the number of experts hold replicas. Immutable and thread-safe. It is
+ * used when ibishub runs behind its own interface; {@code dev.ibishub.core.ranks.GroupMap} is its
+ * counterpart on the platform of its users.
  *
- * <p>The bytes are those of the switch: layer by layer, rank by rank, slot by slot, two bytes an
- * expert, high byte first.
+ * <p>The serialized form is the one sent to ranks: ordered by layer, rank and slot, two bytes for
+ * each expert, big-endian.
  */
 public final class ExpertMap {
   private final int layers;
@@ -23,12 +25,12 @@
   }
 
   /**
-   * Makes a map from the expert of each slot.
+   * Creates a map from the expert in each slot.
    *
-   * @param layers how many layers
-   * @param ranks how many ranks
-   * @param slots slots a rank and layer
-   * @param experts the experts, in the order of the bytes; copied
+   * @param layers number of layers
+   * @param ranks number of ranks
+   * @param slots number of slots of a rank in each layer
+   * @param experts the experts in the order of the serialized form; copied
    * @return the map
    */
   public static ExpertMap of(int layers, int ranks, int slots, short[] experts) {
@@ -39,12 +41,12 @@
   }
 
   /**
-   * Deals the experts out to the slots in turn, without regard to load.
+   * Creates a map that assigns the experts to the slots round-robin, regardless of load.
    *
-   * @param layers how many layers
-   * @param ranks how many ranks
-   * @param slots slots a rank and layer
-   * @param expertCount experts a layer, at most as many as slots
+   * @param layers number of layers
+   * @param ranks number of ranks
+   * @param slots number of slots of a rank in each layer
+   * @param expertCount number of experts in each layer, at most the number of slots of all ranks
    * @return the map
    */
   public static ExpertMap inTurn(int layers, int ranks, int slots, int expertCount) {
@@ -56,12 +58,12 @@
   }
 
   /**
-   * Reads the bytes of a switch.
+   * Deserializes a map.
    *
-   * @param layers how many layers
-   * @param ranks how many ranks
-   * @param slots slots a rank and layer
-   * @param bytes as {@link #toBytes} gives them
+   * @param layers number of layers
+   * @param ranks number of ranks
+   * @param slots number of slots of a rank in each layer
+   * @param bytes the form returned by {@link #toBytes}
    * @return the map
    */
   public static ExpertMap fromBytes(int layers, int ranks, int slots, byte[] bytes) {
@@ -73,7 +75,7 @@
     return of(layers, ranks, slots, experts);
   }
 
-  /** Returns the bytes that ranks stage. */
+  /** Returns the serialized form of this map, as sent to ranks for staging. */
   public byte[] toBytes() {
     byte[] bytes = new byte[experts.length * 2];
     for (int position = 0; position < experts.length; position++) {
@@ -101,11 +103,11 @@
   }
 
   /**
-   * Counts the slots that hold another expert than in an earlier map, each of which a rank must
-   * fetch unless it holds that expert in another slot of the layer.
+   * Returns how many experts the ranks must fetch to switch from an earlier map to this one. An
+   * expert that a rank already holds in another slot of the same layer needs no fetch.
    *
-   * @param before the earlier map, of the same shape
-   * @return how many experts must be fetched
+   * @param before the earlier map, with the same dimensions
+   * @return number of experts to fetch
    */
   public long fetchesFrom(ExpertMap before) {
     long fetches = 0;
--- a/core/src/main/java/dev/ibishub/core/ExpertPlannerOptions.java
+++ b/core/src/main/java/dev/ibishub/core/ExpertPlannerOptions.java
@@ -1,29 +1,30 @@
 package dev.ibishub.core;
 
 /**
- * How a site weighs step-time skew against the cost of a rebalance.
+ * Trade-off between step-time skew and the cost of a rebalance.
  *
- * @param startSkew a plan is made only when the step takes this many times the ideal or more
- * @param stopSkew and moves experts until it takes this many times the ideal or less
- * @param minimumGainPerExpert the least part of the step's time that the fetch of one expert must
- *     gain: low where skew weighs more, high where the cost does
- * @param maximumFetches the most experts fetched for one plan
+ * @param startSkew skew, as a multiple of the ideal step time, from which on a plan is made
+ * @param stopSkew skew at which a plan moves no further experts; the gap to {@code startSkew} is
+ *     the hysteresis
+ * @param minimumGainPerExpert minimum gain of one expert fetch as a fraction of the step time: low
+ *     to favor even steps, high to favor few fetches
+ * @param maximumFetches maximum number of experts fetched for one plan
  */
 public record ExpertPlannerOptions(
     double startSkew, double stopSkew, double minimumGainPerExpert, int maximumFetches) {
-  /** Checks that the hysteresis has a width. */
+  /** Checks that {@code 1 <= stopSkew <= startSkew} and that {@code maximumFetches} is positive. */
   public ExpertPlannerOptions {
     if (startSkew < stopSkew || stopSkew < 1 || maximumFetches < 1) {
       throw new IllegalArgumentException("1 <= stopSkew <= startSkew and maximumFetches >= 1");
     }
   }
 
-  /** Returns the weights of a site whose calls are short, so that a slow step is felt at once. */
+  /** Returns options for short calls, where a slow step is noticed at once. */
   public static ExpertPlannerOptions preferringEvenSteps() {
     return new ExpertPlannerOptions(1.06, 1.03, 1e-5, 4000);
   }
 
-  /** Returns the weights of a site with long batches, which a rebalance can delay. */
+  /** Returns options for long batches, which a rebalance can delay. */
   public static ExpertPlannerOptions preferringFewMoves() {
     return new ExpertPlannerOptions(1.15, 1.08, 1e-4, 1000);
   }
--- a/core/src/main/java/dev/ibishub/core/internal/experts/LayerLoad.java
+++ b/core/src/main/java/dev/ibishub/core/internal/experts/LayerLoad.java
@@ -6,12 +6,12 @@
 import java.util.stream.IntStream;
 
 /**
- * The load of one layer's ranks under a placement, and the move that relieves the slowest rank most
- * for each expert fetched. Tokens of an expert spread evenly over its replicas. Not thread-safe.
+ * Load of the ranks in one layer under a placement, and the move that relieves the slowest rank
+ * most per expert fetched. Tokens of an expert spread evenly over its replicas. Not thread-safe.
  */
 public final class LayerLoad {
-  private static final int LIGHT_RANKS_TRIED = 8;
-  private static final int DONORS_TRIED = 8;
+  private static final int LIGHT_RANK_CANDIDATES = 8;
+  private static final int DONOR_CANDIDATES = 8;
   private static final int NONE = -1;
 
   private final int slots;
@@ -21,16 +21,16 @@
   private final double[] popularity;
   private final double[] slowness;
   private final int[] replicas;
-  private final double[] load;
+  private final double[] loads;
 
   /**
-   * Takes a layer in.
+   * Creates the load of one layer.
    *
-   * @param experts the expert of each slot of all layers; changed by {@link #apply}
-   * @param layer the layer's number
-   * @param slots slots a rank
-   * @param popularity tokens a step for each expert
-   * @param slowness time for each token at each rank
+   * @param experts the expert in each slot of all layers; modified by {@link #apply}
+   * @param layer the layer's number, from 0
+   * @param slots number of slots of a rank
+   * @param popularity tokens in a step, by expert
+   * @param slowness relative time for a token, by rank
    */
   public LayerLoad(short[] experts, int layer, int slots, double[] popularity, double[] slowness) {
     this.slots = slots;
@@ -40,170 +40,193 @@
     this.popularity = popularity;
     this.slowness = slowness;
     this.replicas = new int[popularity.length];
-    this.load = new double[ranks];
+    this.loads = new double[ranks];
     IntStream.range(0, ranks * slots).forEach(i -> replicas[experts[offset + i]]++);
-    IntStream.range(0, ranks * slots).forEach(i -> load[i / slots] += share(experts[offset + i]));
+    IntStream.range(0, ranks * slots).forEach(i -> loads[i / slots] += share(experts[offset + i]));
   }
 
   /**
-   * A move: the expert of one slot goes to another, which gives its own in exchange or loses a
-   * replica.
+   * Move of the expert in one slot to another slot, either by a swap or as a replica that replaces
+   * a spare replica of another expert.
    *
-   * @param from the slot relieved
-   * @param to the slot that takes its expert
-   * @param swap whether the slots exchange their experts, else {@code to} drops a replica
-   * @param gain by how much the layer's time falls
+   * @param from the slot to relieve
+   * @param to the slot that receives its expert
+   * @param swap whether the slots swap their experts; if not, {@code to} gives up a replica
+   * @param gain reduction of the layer's time
    */
   public record Move(int from, int to, boolean swap, double gain) {
-    /** How many experts must be fetched. */
+    /** Returns the number of experts to fetch. */
     public int fetches() {
       return swap ? 2 : 1;
     }
 
-    /** Time gained for each expert fetched. */
+    /** Returns the reduction of the layer's time for each expert fetched. */
     public double gainPerFetch() {
       return gain / fetches();
     }
   }
 
   /** Returns the time of the slowest rank. */
-  public double slowest() {
+  public double slowestTime() {
     return IntStream.range(0, ranks).mapToDouble(this::time).max().orElse(0);
   }
 
-  /** Returns the time that all ranks would take under a perfect balance: no placement beats it. */
-  public double ideal() {
-    double speed = Arrays.stream(slowness).map(each -> 1 / each).sum();
-    return Arrays.stream(popularity).sum() / speed;
+  /** Returns the time of every rank under a perfect balance, a lower bound for any placement. */
+  public double idealTime() {
+    double totalSpeed = Arrays.stream(slowness).map(each -> 1 / each).sum();
+    return Arrays.stream(popularity).sum() / totalSpeed;
   }
 
-  /** Finds the move that gains most for each expert fetched, or empty when none gains. */
+  /** Returns the move with the highest gain per fetch, or empty when no move gains. */
   public Optional<Move> bestMove() {
-    int heavy = IntStream.range(0, ranks).reduce(0, (a, b) -> time(b) > time(a) ? b : a);
-    double before = time(heavy);
-    int[] light =
+    int heavyRank = IntStream.range(0, ranks).reduce(0, (a, b) -> time(b) > time(a) ? b : a);
+    double slowestTimeBefore = time(heavyRank);
+    int[] lightRanks =
         IntStream.range(0, ranks)
             .boxed()
             .sorted((a, b) -> Double.compare(time(a), time(b)))
-            .limit(LIGHT_RANKS_TRIED)
+            .limit(LIGHT_RANK_CANDIDATES)
             .mapToInt(Integer::intValue)
             .toArray();
-    double second =
+    double secondSlowestTime =
         IntStream.range(0, ranks)
-            .filter(rank -> rank != heavy)
+            .filter(rank -> rank != heavyRank)
             .mapToDouble(this::time)
             .max()
             .orElse(0);
-    int[] donors = donors();
+    int[] donors = cheapestDonorSlots();
     Move best = new Move(NONE, NONE, false, 0);
-    for (int from = heavy * slots; from < (heavy + 1) * slots; from++) {
-      double secondWithReplica = secondWithReplica(expertAt(from), heavy);
-      for (int rank : light) {
+    for (int from = heavyRank * slots; from < (heavyRank + 1) * slots; from++) {
+      double secondTimeWithReplica = secondTimeWithReplica(expertAt(from), heavyRank);
+      for (int rank : lightRanks) {
         for (int to = rank * slots; to < (rank + 1) * slots; to++) {
-          best = better(best, swap(from, to, before, second));
-          best = better(best, replicate(from, to, before, secondWithReplica));
+          best = higherGainPerFetch(best, swap(from, to, slowestTimeBefore, secondSlowestTime));
+          best =
+              higherGainPerFetch(
+                  best, replicate(from, to, slowestTimeBefore, secondTimeWithReplica));
         }
       }
       for (int to : donors) {
-        best = better(best, replicate(from, to, before, secondWithReplica));
+        best =
+            higherGainPerFetch(best, replicate(from, to, slowestTimeBefore, secondTimeWithReplica));
       }
     }
     return best.gain() > 0 ? Optional.of(best) : Optional.empty();
   }
 
-  /** The slots whose expert has replicas to spare and is missed least. */
-  private int[] donors() {
+  /**
+   * Returns the slots whose expert has a spare replica and whose loss adds the least load
+   * elsewhere.
+   */
+  private int[] cheapestDonorSlots() {
     return IntStream.range(0, ranks * slots)
         .filter(slot -> replicas[expertAt(slot)] > 1)
         .boxed()
-        .sorted(Comparator.comparingDouble(this::shareWithoutOne))
-        .limit(DONORS_TRIED)
+        .sorted(Comparator.comparingDouble(this::shareAfterRemoval))
+        .limit(DONOR_CANDIDATES)
         .mapToInt(Integer::intValue)
         .toArray();
   }
 
-  private double shareWithoutOne(int slot) {
+  private double shareAfterRemoval(int slot) {
     int expert = expertAt(slot);
     return popularity[expert] / (replicas[expert] - 1);
   }
 
-  // One more replica relieves every rank that holds the expert, not only the slowest: where two are
-  // equally slow for the same expert, nothing else shows a gain.
-  private double secondWithReplica(int expert, int heavy) {
-    double relief = share(expert) - popularity[expert] / (replicas[expert] + 1);
+  // Another replica relieves every rank that holds the expert, not only the slowest one. If two
+  // ranks are equally slow because of the same expert, only this shows a gain.
+  private double secondTimeWithReplica(int expert, int heavyRank) {
+    double shareReduction = share(expert) - popularity[expert] / (replicas[expert] + 1);
     return IntStream.range(0, ranks)
-        .filter(rank -> rank != heavy)
-        .mapToDouble(rank -> time(rank) - (holds(rank, expert) ? relief * slowness[rank] : 0))
+        .filter(rank -> rank != heavyRank)
+        .mapToDouble(
+            rank -> time(rank) - (holds(rank, expert) ? shareReduction * slowness[rank] : 0))
         .max()
         .orElse(0);
   }
 
-  /** Makes a move. */
+  /** Applies a move to the placement and the loads. */
   public void apply(Move move) {
-    int a = expertAt(move.from());
-    int b = expertAt(move.to());
+    int movedExpert = expertAt(move.from());
+    int otherExpert = expertAt(move.to());
     if (move.swap()) {
-      changeLoad(move.from() / slots, share(b) - share(a));
-      changeLoad(move.to() / slots, share(a) - share(b));
-      experts[offset + move.from()] = (short) b;
-      experts[offset + move.to()] = (short) a;
+      changeLoad(move.from() / slots, share(otherExpert) - share(movedExpert));
+      changeLoad(move.to() / slots, share(movedExpert) - share(otherExpert));
+      experts[offset + move.from()] = (short) otherExpert;
+      experts[offset + move.to()] = (short) movedExpert;
       return;
     }
-    changeLoad(move.to() / slots, -share(b));
-    experts[offset + move.to()] = (short) a;
-    changeReplicas(b, -1, move.to());
-    changeReplicas(a, 1, move.to());
-    changeLoad(move.to() / slots, share(a));
+    changeLoad(move.to() / slots, -share(otherExpert));
+    experts[offset + move.to()] = (short) movedExpert;
+    changeReplicas(otherExpert, -1, move.to());
+    changeReplicas(movedExpert, 1, move.to());
+    changeLoad(move.to() / slots, share(movedExpert));
   }
 
   private void changeReplicas(int expert, int change, int except) {
     double old = share(expert);
     replicas[expert] += change;
-    double difference = share(expert) - old;
+    double loadChange = share(expert) - old;
     IntStream.range(0, ranks * slots)
         .filter(slot -> slot != except && expertAt(slot) == expert)
-        .forEach(slot -> changeLoad(slot / slots, difference));
-  }
-
-  private Move swap(int from, int to, double before, double second) {
-    int a = expertAt(from);
-    int b = expertAt(to);
-    int heavy = from / slots;
-    int light = to / slots;
-    if (heavy == light || a == b || holds(light, a) || holds(heavy, b)) {
+        .forEach(slot -> changeLoad(slot / slots, loadChange));
+  }
+
+  private Move swap(int from, int to, double slowestTimeBefore, double secondSlowestTime) {
+    int movedExpert = expertAt(from);
+    int otherExpert = expertAt(to);
+    int heavyRank = from / slots;
+    int lightRank = to / slots;
+    if (heavyRank == lightRank
+        || movedExpert == otherExpert
+        || holds(lightRank, movedExpert)
+        || holds(heavyRank, otherExpert)) {
       return new Move(from, to, true, 0);
     }
-    double difference = share(a) - share(b);
+    double loadChange = share(movedExpert) - share(otherExpert);
     double after =
         Math.max(
-            (load[heavy] - difference) * slowness[heavy],
-            (load[light] + difference) * slowness[light]);
-    return new Move(from, to, true, before - Math.max(after, second));
-  }
-
-  private Move replicate(int from, int to, double before, double second) {
-    int a = expertAt(from);
-    int b = expertAt(to);
-    int heavy = from / slots;
-    int light = to / slots;
-    if (heavy == light || a == b || replicas[b] < 2 || holds(light, a)) {
+            (loads[heavyRank] - loadChange) * slowness[heavyRank],
+            (loads[lightRank] + loadChange) * slowness[lightRank]);
+    return new Move(from, to, true, slowestTimeBefore - Math.max(after, secondSlowestTime));
+  }
+
+  private Move replicate(int from, int to, double slowestTimeBefore, double secondSlowestTime) {
+    int movedExpert = expertAt(from);
+    int replacedExpert = expertAt(to);
+    int heavyRank = from / slots;
+    int lightRank = to / slots;
+    if (heavyRank == lightRank
+        || movedExpert == replacedExpert
+        || replicas[replacedExpert] < 2
+        || holds(lightRank, movedExpert)) {
       return new Move(from, to, false, 0);
     }
-    double shareOfA = popularity[a] / (replicas[a] + 1);
-    double riseOfB = popularity[b] / (replicas[b] - 1) - share(b);
-    double after = (load[heavy] - share(a) + shareOfA) * slowness[heavy];
-    after = Math.max(after, (load[light] - share(b) + shareOfA) * slowness[light]);
+    double movedShareAfter = popularity[movedExpert] / (replicas[movedExpert] + 1);
+    double replacedShareRise =
+        popularity[replacedExpert] / (replicas[replacedExpert] - 1) - share(replacedExpert);
+    double after = (loads[heavyRank] - share(movedExpert) + movedShareAfter) * slowness[heavyRank];
+    after =
+        Math.max(
+            after,
+            (loads[lightRank] - share(replacedExpert) + movedShareAfter) * slowness[lightRank]);
     for (int slot = 0; slot < ranks * slots; slot++) {
-      if (slot != to && expertAt(slot) == b) {
-        after = Math.max(after, (load[slot / slots] + riseOfB) * slowness[slot / slots]);
+      if (slot != to && expertAt(slot) == replacedExpert) {
+        after = Math.max(after, (loads[slot / slots] + replacedShareRise) * slowness[slot / slots]);
       }
     }
-    boolean heavyHoldsB = holds(heavy, b);
-    return new Move(from, to, false, heavyHoldsB ? 0 : before - Math.max(after, second));
+    boolean heavyRankHoldsReplaced = holds(heavyRank, replacedExpert);
+    return new Move(
+        from,
+        to,
+        false,
+        heavyRankHoldsReplaced ? 0 : slowestTimeBefore - Math.max(after, secondSlowestTime));
   }
 
-  private static Move better(Move best, Move next) {
-    return next.gain() > 0 && next.gainPerFetch() > best.gainPerFetch() ? next : best;
+  private static Move higherGainPerFetch(Move best, Move candidate) {
+    return candidate.gain() > 0 && candidate.gainPerFetch() > best.gainPerFetch()
+        ? candidate
+        : best;
   }
 
   private boolean holds(int rank, int expert) {
@@ -220,10 +243,10 @@
   }
 
   private double time(int rank) {
-    return load[rank] * slowness[rank];
+    return loads[rank] * slowness[rank];
   }
 
-  private void changeLoad(int rank, double difference) {
-    load[rank] += difference;
+  private void changeLoad(int rank, double loadChange) {
+    loads[rank] += loadChange;
   }
 }
--- a/core/src/main/java/dev/ibishub/core/internal/experts/package-info.java
+++ b/core/src/main/java/dev/ibishub/core/internal/experts/package-info.java
@@ -1,2 +1,2 @@
-/** Parts of the expert-map switch and of the expert planner, behind {@code dev.ibishub.core}. */
+/** Internals of the expert-map switch and the expert planner of {@code dev.ibishub.core}. */
 package dev.ibishub.core.internal.experts;
