--- a/core/src/main/java/dev/ibishub/core/GroupCommand.java
+++ b/core/src/main/java/dev/ibishub/core/GroupCommand.java
@@ -1,19 +1,20 @@
 package dev.ibishub.core;
 
 /**
- * One command of a group's leader to one rank. Numbered by incarnation, epoch and sequence, so that
- * a late, repeated or reordered copy is known as such.
+ * Command of a group's leader to one rank when ibishub runs behind its own interface; {@code
+ * dev.ibishub.core.ranks.RankCommand} is its counterpart on the platform of its users. Incarnation,
+ * epoch and sequence number let a rank recognize late, duplicate and reordered copies.
  *
  * @param group the group's name
  * @param incarnation the group incarnation, 0 in {@link Kind#PREPARE}
- * @param epoch the leader's number, higher for a later leader
- * @param sequence number of the command within the epoch; a copy keeps it
- * @param kind what to do
- * @param mapVersion the map concerned, 0 where none is
- * @param step the step concerned, 0 where none is
- * @param map the map's bytes for {@link Kind#STAGE}, else empty
+ * @param epoch the leader's epoch, higher for a later leader; at least 1
+ * @param sequence number of the command within the epoch, at least 1; retransmissions keep it
+ * @param kind the operation
+ * @param mapVersion version of the map concerned, 0 for none
+ * @param step the step concerned, 0 for none
+ * @param map the serialized map for {@link Kind#STAGE}, else empty
  */
-@SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
+@SuppressWarnings("ArrayRecordComponent") // Passed through, never compared or hashed.
 public record GroupCommand(
     String group,
     long incarnation,
@@ -23,28 +24,28 @@
     long mapVersion,
     long step,
     byte[] map) {
-  /** Checks that the command is numbered. */
+  /** Checks that epoch and sequence number are positive. */
   public GroupCommand {
     if (epoch <= 0 || sequence <= 0) {
       throw new IllegalArgumentException("epoch and sequence start at 1");
     }
   }
 
-  /** What a command asks for. */
+  /** Operation that a command requests. */
   public enum Kind {
-    /** Refuse lower epochs from now on, and report. Also read as a plain status request. */
+    /** Refuse lower epochs from now on and report the state. Also serves as a status request. */
     PREPARE,
-    /** Keep the map ready without using it. */
+    /** Load the map without using it yet. */
     STAGE,
-    /** Do not begin the step until told. */
+    /** Do not begin the step until a commit or a release. */
     HOLD,
-    /** Use the map from the step on. */
+    /** Use the map from the given step on. */
     COMMIT,
-    /** Drop the hold and go on with the map in use. */
+    /** Drop the hold and continue with the current map. */
     RELEASE,
-    /** All ranks have the commit: it need not be reported any longer. */
+    /** Stop reporting the commit, which all ranks now have. */
     FORGET,
-    /** Become a member under a new group incarnation. */
+    /** Become a member of the group under a new incarnation. */
     JOIN
   }
 }
--- a/core/src/main/java/dev/ibishub/core/GroupEpoch.java
+++ b/core/src/main/java/dev/ibishub/core/GroupEpoch.java
@@ -1,8 +1,11 @@
 package dev.ibishub.core;
 
-/** Numbers of group leaders: a counter that grows, and below it a tag of the leader's process. */
+/**
+ * Epochs of group leaders: a counter in the high bits, and a tag of the leader's process in the low
+ * bits.
+ */
 public final class GroupEpoch {
-  /** The highest epoch: leaves room for the number of a map within its epoch. */
+  /** Exclusive upper bound of epochs, which leaves room to derive map versions from an epoch. */
   public static final long MAXIMUM = 1L << 46;
 
   private static final int TAG_BITS = 24;
@@ -10,11 +13,11 @@
   private GroupEpoch() {}
 
   /**
-   * Numbers a new leader. Two processes that start from the same highest epoch get different
-   * numbers but for one chance in 2^24, by the tag.
+   * Returns an epoch for a new leader. Two processes that start from the same highest epoch get
+   * different epochs unless their tags collide, which has a probability of 1 in 2^24.
    *
    * @param highestSeen the highest epoch known from any rank
-   * @param processIncarnation drawn anew at each start of the leader's process
+   * @param processIncarnation random number drawn at each start of the leader's process
    * @return an epoch above {@code highestSeen}
    */
   public static long next(long highestSeen, long processIncarnation) {
--- a/core/src/main/java/dev/ibishub/core/RankGate.java
+++ b/core/src/main/java/dev/ibishub/core/RankGate.java
@@ -3,11 +3,13 @@
 import dev.ibishub.core.GroupCommand.Kind;
 
 /**
- * The agent's side of the switch of the expert map: decides which commands of which leader the
- * rank's engine gets. Engines may ignore fencing numbers, so this gate alone fences old leaders.
+ * Gate in the agent that decides which commands of which group leader reach the rank's engine.
+ * Engines may ignore fencing tokens, so only this gate fences off superseded leaders. It serves the
+ * runs behind ibishub's own interface; on the platform of its users the engines fence by
+ * themselves.
  *
- * <p>The caller reads the engine's state before each command, calls {@link #admit}, gives the
- * engine the order if {@link Verdict#order} says so, reads the state again and calls {@link
+ * <p>The caller reads the engine's state before each command, calls {@link #admit}, forwards the
+ * command to the engine if {@link Verdict#order} is set, reads the state again and calls {@link
  * #reply}. One command at a time. Not thread-safe.
  *
  * <pre>{@code
@@ -24,8 +26,8 @@
   private long incarnation;
   private long promisedEpoch;
   private long lastSequence;
-  private long reportedVersion;
-  private long reportedStep;
+  private long reportedCommitVersion;
+  private long reportedCommitStep;
 
   private RankGate(String group, int rank) {
     this.group = group;
@@ -33,26 +35,26 @@
   }
 
   /**
-   * Creates the gate of an agent that has just started and so has no memory of promises.
+   * Creates the gate of an agent that has just started and remembers no promises.
    *
    * @param group the group's name
-   * @param rank the rank's number
-   * @return a gate that takes nothing but {@code PREPARE} and {@code JOIN}
+   * @param rank the rank's number, from 0
+   * @return a gate that accepts only {@code PREPARE} and {@code JOIN} at first
    */
   public static RankGate create(String group, int rank) {
     return new RankGate(group, rank);
   }
 
   /**
-   * What is to be done with a command.
+   * Decision on a command.
    *
-   * @param code {@code OK}, or why it is refused
-   * @param order whether the engine is to be given the command's order; when not, it is already in
-   *     the state asked for or the command is refused
+   * @param code {@code OK}, or why the command is refused
+   * @param order whether to forward the command to the engine; if not, the engine is already in the
+   *     requested state or the command is refused
    */
   public record Verdict(ResultCode code, boolean order) {
-    private static final Verdict ORDER = new Verdict(ResultCode.OK, true);
-    private static final Verdict DONE = new Verdict(ResultCode.OK, false);
+    private static final Verdict FORWARD = new Verdict(ResultCode.OK, true);
+    private static final Verdict ALREADY_DONE = new Verdict(ResultCode.OK, false);
 
     private static Verdict refuse(ResultCode code) {
       return new Verdict(code, false);
@@ -60,15 +62,15 @@
   }
 
   /**
-   * Decides on a command and keeps what the rank promises by it.
+   * Decides on a command and records the promise that it entails.
    *
    * @param command the leader's command
-   * @param engine the engine's state, read after the previous order ended
-   * @return what to do; refuses with {@code STALE_EPOCH}, {@code UNKNOWN_INCARNATION}, {@code
-   *     STEP_ALREADY_PASSED}, {@code MAP_NOT_STAGED} or {@code PROTOCOL_VIOLATION}
+   * @param engine the engine's state, read after the previous command ended
+   * @return the decision; refusals have the code {@code STALE_EPOCH}, {@code UNKNOWN_INCARNATION},
+   *     {@code STEP_ALREADY_PASSED}, {@code MAP_NOT_STAGED} or {@code PROTOCOL_VIOLATION}
    */
   public Verdict admit(GroupCommand command, RankStatus engine) {
-    observe(engine);
+    checkEngineRestart(engine);
     if (!command.group().equals(group)) {
       return Verdict.refuse(ResultCode.PROTOCOL_VIOLATION);
     }
@@ -76,15 +78,16 @@
       return Verdict.refuse(ResultCode.STALE_EPOCH);
     }
     if (command.kind() == Kind.PREPARE) {
-      promise(command);
-      return member ? Verdict.DONE : Verdict.refuse(ResultCode.UNKNOWN_INCARNATION);
+      recordPromise(command);
+      return member ? Verdict.ALREADY_DONE : Verdict.refuse(ResultCode.UNKNOWN_INCARNATION);
     }
     if (command.kind() == Kind.JOIN) {
       return join(command);
     }
-    // Guards against a command that counts on a promise which this rank gave before it lost its
-    // memory: the leader may hold the old answer and commit on it. A rank without memory belongs to
-    // no incarnation, and one that joined anew belongs to a later one, so neither obeys.
+    // Guards against a command that relies on a promise which this rank gave before it lost its
+    // state: the leader may have the old reply and commit on the strength of it. A rank without
+    // state belongs to no incarnation, and one that joined again belongs to a later one, so neither
+    // obeys.
     if (!member || command.incarnation() != incarnation) {
       return Verdict.refuse(ResultCode.UNKNOWN_INCARNATION);
     }
@@ -103,12 +106,12 @@
   }
 
   /**
-   * Makes the answer to a command.
+   * Builds the reply to a command.
    *
-   * @param command the command answered
-   * @param code how it ended
-   * @param engine the engine's state after it
-   * @return the answer, with the last commit that must still be reported
+   * @param command the command to reply to
+   * @param code the result of the command
+   * @param engine the engine's state after the command
+   * @return the reply, including the last commit that must still be reported
    */
   public GroupReply reply(GroupCommand command, ResultCode code, RankStatus engine) {
     return new GroupReply(
@@ -120,7 +123,7 @@
         command.kind(),
         code,
         promisedEpoch,
-        report(engine));
+        withReportedCommit(engine));
   }
 
   public int rank() {
@@ -131,25 +134,25 @@
     return promisedEpoch;
   }
 
-  // An engine that died has lost holds which this rank promised, though the agent remembers. The
-  // commit stays reported: other ranks may have been told nothing of it yet.
-  private void observe(RankStatus engine) {
+  // An engine that restarted has lost the holds that this rank promised, although the agent still
+  // remembers them. The commit remains reported, because other ranks may not have received it yet.
+  private void checkEngineRestart(RankStatus engine) {
     if (engine.engineStart() != engineStart) {
       engineStart = engine.engineStart();
       member = false;
     }
   }
 
-  // Guards against a leader that was paused and is unaware of its successor, and against a late
-  // copy
-  // of a command that a later one of the same leader has undone. Both show as a hold or commit that
-  // the present leader knows nothing of. The rank alone decides, by number, so no clock is trusted.
+  // Guards against a leader that was paused and does not know of its successor, and against a late
+  // copy of a command that the same leader has since undone. Either would leave a hold or commit
+  // that the current leader does not know of. The rank decides by the numbers alone, so no clock is
+  // trusted.
   private boolean isStale(GroupCommand command) {
     return command.epoch() < promisedEpoch
         || (command.epoch() == promisedEpoch && command.sequence() < lastSequence);
   }
 
-  private void promise(GroupCommand command) {
+  private void recordPromise(GroupCommand command) {
     promisedEpoch = command.epoch();
     lastSequence = command.sequence();
   }
@@ -165,78 +168,78 @@
     lastSequence = command.sequence();
     incarnation = command.incarnation();
     member = true;
-    return Verdict.DONE;
+    return Verdict.ALREADY_DONE;
   }
 
   private static Verdict stage(GroupCommand command, RankStatus engine) {
-    boolean known =
+    boolean alreadyPresent =
         engine.stagedMapVersion() == command.mapVersion()
             || engine.mapVersion() == command.mapVersion();
-    return known ? Verdict.DONE : Verdict.ORDER;
+    return alreadyPresent ? Verdict.ALREADY_DONE : Verdict.FORWARD;
   }
 
   private static Verdict hold(GroupCommand command, RankStatus engine) {
     // Guards against a second switch that overtakes the first: an engine keeps one commit, so the
-    // next would replace it on some ranks before its step and on others after it, and that step
-    // would run on two maps. All ranks must hold, so one refusal keeps the next commit off.
+    // next one would replace it before its step on some ranks and after it on others, and that step
+    // would run with two maps. A commit needs the holds of all ranks, so one refusal prevents it.
     if (engine.committedMapVersion() != 0) {
       return Verdict.refuse(ResultCode.PROTOCOL_VIOLATION);
     }
     if (engine.step() >= command.step()) {
       return Verdict.refuse(ResultCode.STEP_ALREADY_PASSED);
     }
-    return engine.holdStep() == command.step() ? Verdict.DONE : Verdict.ORDER;
+    return engine.holdStep() == command.step() ? Verdict.ALREADY_DONE : Verdict.FORWARD;
   }
 
   private Verdict commit(GroupCommand command, RankStatus engine) {
     if (engine.mapVersion() == command.mapVersion()
         || engine.committedMapVersion() == command.mapVersion()) {
-      return Verdict.DONE;
+      return Verdict.ALREADY_DONE;
     }
     if (engine.stagedMapVersion() != command.mapVersion()) {
       return Verdict.refuse(ResultCode.MAP_NOT_STAGED);
     }
-    // Without its hold a rank may have begun the step on the old map by the time the order arrives.
+    // Without the hold, the rank may have begun the step with the old map when the commit arrives.
     boolean held = engine.holdStep() == command.step() || engine.isFresh();
     if (!held || engine.step() >= command.step()) {
       return Verdict.refuse(ResultCode.STEP_ALREADY_PASSED);
     }
-    remember(command);
-    return Verdict.ORDER;
+    recordCommit(command);
+    return Verdict.FORWARD;
   }
 
-  // Guards against forgetting a commit when it is applied: a leader that takes over then hears of
-  // no
-  // commit and releases the other ranks, which run the step on the old map. It is remembered before
-  // the engine is told, so a lost answer cannot hide it, and until FORGET says that all have it.
-  private void remember(GroupCommand command) {
-    if (command.mapVersion() > reportedVersion) {
-      reportedVersion = command.mapVersion();
-      reportedStep = command.step();
+  // Guards against forgetting a commit once it is applied: a leader that takes over would then hear
+  // of no commit and release the other ranks, which would run the step with the old map. The commit
+  // is recorded before it is sent to the engine, so a lost answer cannot hide it, and is kept until
+  // FORGET says that all ranks have it.
+  private void recordCommit(GroupCommand command) {
+    if (command.mapVersion() > reportedCommitVersion) {
+      reportedCommitVersion = command.mapVersion();
+      reportedCommitStep = command.step();
     }
   }
 
   private Verdict release(RankStatus engine) {
     if (engine.holdStep() == 0) {
-      return Verdict.DONE;
+      return Verdict.ALREADY_DONE;
     }
-    boolean committed = reportedVersion > engine.mapVersion() && reportedStep == engine.holdStep();
-    return committed ? Verdict.refuse(ResultCode.PROTOCOL_VIOLATION) : Verdict.ORDER;
+    boolean committed =
+        reportedCommitVersion > engine.mapVersion() && reportedCommitStep == engine.holdStep();
+    return committed ? Verdict.refuse(ResultCode.PROTOCOL_VIOLATION) : Verdict.FORWARD;
   }
 
   private Verdict forget(GroupCommand command) {
-    if (reportedVersion <= command.mapVersion()) {
-      reportedVersion = 0;
-      reportedStep = 0;
+    if (reportedCommitVersion <= command.mapVersion()) {
+      reportedCommitVersion = 0;
+      reportedCommitStep = 0;
     }
-    return Verdict.DONE;
+    return Verdict.ALREADY_DONE;
   }
 
-  // After a restart of the agent the engine's own pending commit stands in for the lost memory;
-  // once
-  // it is in use, the version in use tells the leader the same.
-  private RankStatus report(RankStatus engine) {
-    if (reportedVersion <= engine.committedMapVersion()) {
+  // After a restart of the agent, the engine's own pending commit replaces the lost record; once
+  // that map is in use, the version in use tells the leader the same.
+  private RankStatus withReportedCommit(RankStatus engine) {
+    if (reportedCommitVersion <= engine.committedMapVersion()) {
       return engine;
     }
     return new RankStatus(
@@ -245,8 +248,8 @@
         engine.mapVersion(),
         engine.stagedMapVersion(),
         engine.holdStep(),
-        reportedVersion,
-        reportedStep,
+        reportedCommitVersion,
+        reportedCommitStep,
         engine.map(),
         engine.expertPopularity(),
         engine.stepMillis());
--- a/core/src/main/java/dev/ibishub/core/RankStatus.java
+++ b/core/src/main/java/dev/ibishub/core/RankStatus.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * What an engine says about its rank.
+ * State of a rank as its engine reports it when ibishub runs behind its own interface; {@code
+ * dev.ibishub.core.ranks.RankView} is its counterpart on the platform of its users.
  *
- * @param engineStart drawn anew at each start of the engine
- * @param step the last step begun
- * @param mapVersion the map in use, 0 for none
- * @param stagedMapVersion the map staged, 0 for none
- * @param holdStep the step held back, 0 for none
- * @param committedMapVersion the map committed and not yet in use, 0 for none
- * @param committedStep from which step on
- * @param map the bytes of the map in use, empty where they are not asked for
- * @param expertPopularity tokens by expert over the last second
- * @param stepMillis mean time of this rank's own part of a step, milliseconds
+ * @param engineStart random number drawn at each start of the engine
+ * @param step the last step that began
+ * @param mapVersion version of the map in use, 0 for none
+ * @param stagedMapVersion version of the staged map, 0 for none
+ * @param holdStep the step that is held back, 0 for none
+ * @param committedMapVersion version of the map that is committed but not yet in use, 0 for none
+ * @param committedStep the step from which the committed map is used
+ * @param map the serialized map in use, empty if not requested
+ * @param expertPopularity tokens routed to each expert over the last second
+ * @param stepMillis mean duration of this rank's own part of a step, milliseconds
  */
-@SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
+@SuppressWarnings("ArrayRecordComponent") // Passed through, never compared or hashed.
 public record RankStatus(
     long engineStart,
     long step,
@@ -32,7 +33,7 @@
     expertPopularity = List.copyOf(expertPopularity);
   }
 
-  /** An engine that has just started: no map, so no step can begin. */
+  /** Whether the engine has just started: it has no map, so it cannot begin a step. */
   public boolean isFresh() {
     return mapVersion == 0;
   }
