--- a/core/src/main/java/dev/ibishub/core/RankSlowness.java
+++ b/core/src/main/java/dev/ibishub/core/RankSlowness.java
@@ -4,23 +4,26 @@
 import java.util.stream.IntStream;
 
 /**
- * Estimates how slow each rank is from the time of its own part of a step. That time has a part
- * that does not depend on the experts the rank holds; taken per token, a rank with few tokens would
- * look slow and would be given fewer still. So the time is first fitted as a line over the load,
- * and only what a rank takes beyond the line is its own slowness.
+ * Estimates the relative slowness of each rank from the duration of its own part of a step. That
+ * duration includes a fixed part that does not depend on the load. Measured per token, a rank with
+ * few tokens would therefore look slow and be given even fewer. So a line is first fitted to
+ * duration over load, and a rank's slowness is its deviation from that line. Stateless.
  */
 public final class RankSlowness {
-  /** Ranks within this part of the line count as equally fast: it is the noise of a measurement. */
-  private static final double NOISE = 0.1;
+  /**
+   * Relative deviation from the line below which it is measurement noise and the rank counts as
+   * normal.
+   */
+  private static final double NOISE_FRACTION = 0.1;
 
   private RankSlowness() {}
 
   /**
-   * Estimates.
+   * Estimates the slowness of each rank.
    *
-   * @param loads tokens that each rank's experts get, by rank
-   * @param stepMillis time of each rank's part of a step, milliseconds, by rank
-   * @return for each rank how many times as long as the others it takes; 1 for an ordinary one
+   * @param loads tokens routed to each rank's experts, by rank
+   * @param stepMillis duration of each rank's part of a step in milliseconds, by rank; 0 if unknown
+   * @return how many times the expected duration each rank takes, by rank; 1 for a normal rank
    */
   public static double[] of(double[] loads, double[] stepMillis) {
     double meanLoad = Arrays.stream(loads).average().orElse(0);
@@ -32,18 +35,18 @@
         .toArray();
   }
 
-  private static double ratio(double millis, double expected) {
-    double ratio = expected > 0 && millis > 0 ? millis / expected : 1;
-    return Math.abs(ratio - 1) < NOISE ? 1 : ratio;
+  private static double ratio(double millis, double expectedMillis) {
+    double ratio = expectedMillis > 0 && millis > 0 ? millis / expectedMillis : 1;
+    return Math.abs(ratio - 1) < NOISE_FRACTION ? 1 : ratio;
   }
 
-  /** The median of the slopes to the middle: one straggler does not bend the line. */
+  /** Median slope towards the center, robust against a single straggler. */
   private static double medianSlope(
       double[] loads, double[] stepMillis, double meanLoad, double typicalMillis) {
-    double least = 0.02 * meanLoad;
+    double minimumLoadDifference = 0.02 * meanLoad;
     double[] slopes =
         IntStream.range(0, loads.length)
-            .filter(rank -> Math.abs(loads[rank] - meanLoad) > least)
+            .filter(rank -> Math.abs(loads[rank] - meanLoad) > minimumLoadDifference)
             .mapToDouble(rank -> (stepMillis[rank] - typicalMillis) / (loads[rank] - meanLoad))
             .toArray();
     return slopes.length == 0 ? 0 : median(slopes);
