--- a/core/src/main/java/dev/ibishub/core/OrderGate.java
+++ b/core/src/main/java/dev/ibishub/core/OrderGate.java
@@ -5,73 +5,74 @@
 import java.util.Objects;
 
 /**
- * Decides which orders an engine gets, one at a time. Many engines obey any order whatever fencing
- * token it carries, so this gate alone keeps old ones out. Not thread-safe.
+ * Gate that decides which orders reach an engine, one at a time. Many engines obey any order
+ * regardless of its fencing token, so only this gate rejects stale orders. Not thread-safe.
  *
- * <p>It assumes that an engine lets an order take effect within {@code settleFor} of the end of the
- * call that brought it, or never.
+ * <p>It assumes that an order takes effect within {@code settleFor} after the end of the call that
+ * delivered it, or never.
  */
 public final class OrderGate {
   private final Duration settleFor;
-  private Instant quietUntil;
-  private boolean relearned;
+  private Instant undecidedUntil;
+  private boolean isTokenRestored;
   private long highestToken;
   private String undecidedId = "";
-  private String lastDoneId = "";
+  private String lastConfirmedId = "";
 
   private OrderGate(Instant startedAt, Duration settleFor) {
     this.settleFor = settleFor;
-    this.quietUntil = startedAt.plus(settleFor);
+    this.undecidedUntil = startedAt.plus(settleFor);
   }
 
   /**
-   * Creates the gate of an agent that has just started and remembers nothing.
+   * Creates the gate of an agent that has just started and has no state.
    *
-   * @param startedAt when the agent started: an order that its predecessor gave may still take
+   * @param startedAt when the agent started; an order given by its predecessor may still take
    *     effect after this
-   * @param settleFor how long after the end of its call an order may take effect
-   * @return a gate that refuses orders until {@link #relearn}
+   * @param settleFor how long after the end of its call an order may still take effect
+   * @return a gate that refuses orders until {@link #relearn} is called
    */
   public static OrderGate create(Instant startedAt, Duration settleFor) {
     return new OrderGate(startedAt, Objects.requireNonNull(settleFor));
   }
 
   /**
-   * Learns the highest fencing token given so far, from a source that outlives the agent.
+   * Restores the highest fencing token given so far from a source that outlives the agent.
    *
-   * @param token the token, 0 where none was given
+   * @param token the token, 0 if none was given
    */
   public void relearn(long token) {
     highestToken = Math.max(highestToken, token);
-    relearned = true;
+    isTokenRestored = true;
   }
 
   /**
    * Decides on an order.
    *
-   * @param orderId the order's unique name
+   * @param orderId the order's unique identifier
    * @param token its fencing token
-   * @param lastOrderId the order that took effect last, read from the engine for this decision
-   * @param now the time of that reading
-   * @return {@code OK} to give it to the engine, {@code ACCEPTED} when it has taken effect already,
-   *     else {@code NOT_READY}, {@code STALE_FENCING_TOKEN} or {@code ORDER_UNDECIDED}
+   * @param lastOrderId the order that last took effect, read from the engine for this decision
+   * @param now when {@code lastOrderId} was read
+   * @return {@code OK} to forward the order to the engine, {@code ACCEPTED} if it has already taken
+   *     effect, else {@code NOT_READY}, {@code STALE_FENCING_TOKEN} or {@code ORDER_UNDECIDED}
    */
   public ResultCode admit(String orderId, long token, String lastOrderId, Instant now) {
-    // Guards against an agent that restarted and would obey an order older than one that its
-    // predecessor obeyed: the engine would go back to yesterday's model.
-    if (!relearned) {
+    // Guards against a restarted agent that would obey an order older than one that its predecessor
+    // obeyed, which would revert the engine to an earlier model.
+    if (!isTokenRestored) {
       return ResultCode.NOT_READY;
     }
-    settle(lastOrderId);
-    if (orderId.equals(lastOrderId) || orderId.equals(lastDoneId)) {
+    resolveUndecided(lastOrderId);
+    if (orderId.equals(lastOrderId) || orderId.equals(lastConfirmedId)) {
       return ResultCode.ACCEPTED;
     }
     if (token < highestToken) {
       return ResultCode.STALE_FENCING_TOKEN;
     }
     // Guards against an order whose answer was lost, or whose agent died, and which takes effect
-    // after the next one: it would undo it unseen. Only what is seen, or waiting it out, ends that.
-    if (now.isBefore(quietUntil)) {
+    // after the next order and silently undoes it. Only seeing its effect or waiting out the delay
+    // rules that out.
+    if (now.isBefore(undecidedUntil)) {
       return ResultCode.ORDER_UNDECIDED;
     }
     undecidedId = "";
@@ -79,36 +80,36 @@
     return ResultCode.OK;
   }
 
-  /** Notes that the engine answered an order. */
+  /** Records that the engine confirmed an order. */
   public void onDone(String orderId) {
-    lastDoneId = orderId;
+    lastConfirmedId = orderId;
     undecidedId = "";
   }
 
   /**
-   * Notes that an order's answer was lost, so that it may take effect yet.
+   * Records that the answer to an order was lost, so that it may still take effect.
    *
    * @param orderId the order
    * @param now when its call ended
    */
   public void onUndecided(String orderId, Instant now) {
     undecidedId = orderId;
-    quietUntil = now.plus(settleFor);
+    undecidedUntil = now.plus(settleFor);
   }
 
   public long highestToken() {
     return highestToken;
   }
 
-  /** Returns from when on an order refused with {@code ORDER_UNDECIDED} can be given. */
-  public Instant quietUntil() {
-    return quietUntil;
+  /** Returns the time from which an order refused with {@code ORDER_UNDECIDED} can be retried. */
+  public Instant undecidedUntil() {
+    return undecidedUntil;
   }
 
-  private void settle(String lastOrderId) {
+  private void resolveUndecided(String lastOrderId) {
     if (!undecidedId.isEmpty() && undecidedId.equals(lastOrderId)) {
       onDone(lastOrderId);
-      quietUntil = Instant.MIN;
+      undecidedUntil = Instant.MIN;
     }
   }
 }
