--- a/core/src/main/java/dev/ibishub/core/ranks/MapSwitch.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/MapSwitch.java
@@ -11,79 +11,84 @@
 import java.util.stream.IntStream;
 
 /**
- * Brings all ranks of a group from one map to the next at the same step. Not thread-safe.
+ * Switches all ranks of a group from one map to the next at the same step. It is used on the
+ * platform of ibishub's users; {@code dev.ibishub.core.GroupLeader} is its counterpart behind
+ * ibishub's own interface. Not thread-safe.
  *
- * <p>The promise: no step begins while two ranks have different maps. A switch is prepared
- * everywhere; then one rank holds a step a little ahead, all are armed for that step, and only when
- * each has confirmed is the step released. The hold comes first because a command that was not
- * answered may be carried out seconds later: without it the step could begin while some ranks are
- * armed and others not. In the common case the release comes before the step is due, and nobody
+ * <p>It guarantees that no step begins while two ranks have different maps. The map is first
+ * prepared on all ranks. Then one rank holds a step slightly ahead, all ranks are armed for that
+ * step, and the step is released once every rank has confirmed. The hold comes first because an
+ * unanswered command may be carried out seconds later: without the hold, the step could begin while
+ * only some ranks are armed. Normally the release arrives before the step is due, so that no rank
  * waits.
  *
- * <p>A leader that takes over finds what the last one left in the ranks' own reports: it finishes
- * an armed switch where all can be armed, and else disarms everywhere. It uses a higher fencing
- * token, so commands of the last leader that are still under way are refused once each rank has
- * answered. Two leaders at once can delay each other but not break the promise: a held step is
- * released only when all ranks are armed alike, or when all have confirmed under one token that
- * they are not.
+ * <p>A leader that takes over learns from the reports of the ranks what its predecessor left
+ * unfinished. It completes an armed switch if all ranks can be armed, and otherwise disarms all
+ * ranks. It uses a higher fencing token, so that commands of the predecessor that are still in
+ * flight are refused once each rank has answered. Two concurrent leaders can delay each other but
+ * not violate the guarantee: a held step is released only when all ranks are armed alike, or when
+ * all have confirmed under one token that they are not armed.
  */
 public final class MapSwitch {
-  /** A report older than this says nothing about now. Milliseconds. */
-  static final long FRESH_MILLIS = 600;
+  /** Age beyond which a report is stale, milliseconds. */
+  static final long MAXIMUM_VIEW_AGE_MILLIS = 600;
 
-  /** How long one command may stay unanswered before it is given again, milliseconds. */
-  static final long REPEAT_MILLIS = 70;
+  /** Time without an answer after which a command is sent again, milliseconds. */
+  static final long RETRY_MILLIS = 70;
 
   /**
-   * How long what another leader left has to look the same before it is settled; reports of the
-   * ranks are of different moments. Milliseconds.
+   * How long the remains of another leader's switch must be observed before recovery starts,
+   * because the reports of the ranks are from different times. Milliseconds.
    */
-  static final long SETTLE_MILLIS = 300;
+  static final long RECOVERY_DELAY_MILLIS = 300;
 
-  /** A preparation that takes longer than this is given up, milliseconds. */
-  static final long PREPARE_MILLIS = 2_500;
+  /** Timeout of the preparation, milliseconds. */
+  static final long PREPARE_TIMEOUT_MILLIS = 2_500;
 
-  /** After another leader was noticed, how long to leave the group to it. Milliseconds. */
+  /** How long to leave the group to another leader after a command was fenced, milliseconds. */
   static final long YIELD_MILLIS = 1_000;
 
   /**
-   * Steps from the newest one known to the one that is held. The next one is taken: when experts
-   * are uneven a step takes over 100 ms, and each that passes with the old map makes all streams
-   * late, while arming all ranks under a hold takes some 20 ms. A hold that comes late is refused
-   * and tried again a step later.
+   * Number of steps from the newest known step to the held one. The next step is held by default:
+   * with uneven experts a step takes over 100 ms, and each step with the old map delays all
+   * streams, while arming all ranks under a hold takes about 20 ms. A hold that arrives too late is
+   * refused and retried one step later.
    */
-  static final int FIRST_AHEAD = 1;
+  static final int DEFAULT_LEAD_STEPS = 1;
 
-  /** The same after a switch in which a command stayed unanswered, so that the hold is not felt. */
-  static final int CAREFUL_AHEAD = 3;
+  /**
+   * Number of steps ahead after a switch with an unanswered command, so that the hold stalls no
+   * rank.
+   */
+  static final int CAUTIOUS_LEAD_STEPS = 3;
 
-  /** A rank that needs no further try. */
-  private static final long NEVER = Long.MAX_VALUE;
+  /** Value of {@link #unfinishedSince} when nothing is unfinished. */
+  private static final long NONE_UNFINISHED = Long.MAX_VALUE;
 
   private static final long NOT_HELD = -1;
 
   private final int ranks;
-  private final TokenSource tokens;
+  private final TokenSource fencingTokens;
   private final Map<Integer, RankView> views = new HashMap<>();
   private final boolean[] confirmed;
-  private final long[] nextTry;
-  private final int[] tries;
-  private final long[] triedHold;
+  private final long[] nextAttemptAt;
+  private final int[] attempts;
+  private final long[] attemptedHoldStep;
   private Phase phase = Phase.IDLE;
   private long version;
   private long epoch;
   private long step;
   private long token;
-  private int holder;
-  private int ahead = FIRST_AHEAD;
+  private int holdingRank;
+  private int leadSteps = DEFAULT_LEAD_STEPS;
   private long phaseSince;
-  private long oddSince = NEVER;
-  private long quietUntil;
-  private boolean isSettling;
-  private boolean canFinish;
+  private long unfinishedSince = NONE_UNFINISHED;
+  private long yieldUntil;
+  private boolean isRecovering;
+  private boolean canComplete;
   private boolean hadUnanswered;
 
-  /** Where a switch stands. */
+  /** Phase of a switch. */
   public enum Phase {
     IDLE,
     PREPARING,
@@ -97,29 +102,29 @@
   /**
    * Creates a switch for a group.
    *
-   * @param ranks how many ranks it has
-   * @param tokens gives fencing tokens
+   * @param ranks number of ranks in the group
+   * @param fencingTokens source of fencing tokens
    */
-  public MapSwitch(int ranks, TokenSource tokens) {
+  public MapSwitch(int ranks, TokenSource fencingTokens) {
     this.ranks = ranks;
-    this.tokens = tokens;
+    this.fencingTokens = fencingTokens;
     this.confirmed = new boolean[ranks];
-    this.nextTry = new long[ranks];
-    this.tries = new int[ranks];
-    this.triedHold = new long[ranks];
-    Arrays.fill(triedHold, NOT_HELD);
+    this.nextAttemptAt = new long[ranks];
+    this.attempts = new int[ranks];
+    this.attemptedHoldStep = new long[ranks];
+    Arrays.fill(attemptedHoldStep, NOT_HELD);
   }
 
   public Phase phase() {
     return phase;
   }
 
-  /** Returns the version that is being brought in, or was last. */
+  /** Returns the version of the current or the last switch. */
   public long version() {
     return version;
   }
 
-  /** Takes in what a rank said. */
+  /** Processes a report of a rank. Reports of unknown ranks are ignored. */
   public void onView(int rank, RankView view) {
     if (rank < 0 || rank >= ranks) {
       return;
@@ -133,16 +138,19 @@
     }
   }
 
-  /** Whether all ranks have said lately that they use one map and nothing else is under way. */
+  /**
+   * Whether all ranks have recently reported the same map and no switch is in progress or
+   * unfinished.
+   */
   public boolean isReady(long now) {
     return phase == Phase.IDLE
-        && now >= quietUntil
-        && isComplete(now)
-        && oddSince == NEVER
+        && now >= yieldUntil
+        && hasCurrentViews(now)
+        && unfinishedSince == NONE_UNFINISHED
         && mapVersion().isPresent();
   }
 
-  /** Returns the map in use, where all ranks agree. */
+  /** Returns the version of the map in use, or empty if ranks differ or have not reported. */
   public OptionalLong mapVersion() {
     long[] versions = views.values().stream().mapToLong(RankView::mapVersion).distinct().toArray();
     return versions.length == 1 && views.size() == ranks
@@ -150,7 +158,7 @@
         : OptionalLong.empty();
   }
 
-  /** Returns the highest version that any rank has told of. */
+  /** Returns the highest map version that any rank has reported, 0 for none. */
   public long highestVersion() {
     return views.values().stream()
         .mapToLong(
@@ -160,38 +168,40 @@
         .orElse(0);
   }
 
-  /** Returns the epoch that the ranks told of last. */
+  /** Returns the highest epoch that any rank has reported, 0 for none. */
   public long epoch() {
     return views.values().stream().mapToLong(RankView::epoch).max().orElse(0);
   }
 
   /**
-   * Starts to bring a map in; only when {@link #isReady}.
+   * Starts a switch; call only when {@link #isReady}.
    *
-   * @param newVersion higher than any version before
+   * @param newVersion version of the new map, higher than any before
+   * @param now the current time, milliseconds
    */
   public void start(long newVersion, long now) {
     version = newVersion;
     epoch = epoch();
-    token = tokens.next();
-    isSettling = false;
+    token = fencingTokens.next();
+    isRecovering = false;
     hadUnanswered = false;
-    Arrays.fill(triedHold, NOT_HELD);
-    enter(Phase.PREPARING, now);
+    Arrays.fill(attemptedHoldStep, NOT_HELD);
+    enterPhase(Phase.PREPARING, now);
   }
 
   /**
-   * Decides the next commands.
+   * Advances the switch.
    *
-   * @return what to tell which rank, now
+   * @param now the current time, milliseconds
+   * @return the commands to send now
    */
   public List<RankCommand> tick(long now) {
     if (phase != Phase.IDLE && epoch() != epoch) {
-      // The group formed anew: its ranks have map 0 and nothing prepared, armed or held.
-      enter(Phase.IDLE, now);
+      // The group formed again: its ranks have map 0, and nothing is prepared, armed or held.
+      enterPhase(Phase.IDLE, now);
     }
     return switch (phase) {
-      case IDLE -> lookForLeftovers(now);
+      case IDLE -> detectUnfinishedSwitch(now);
       case PREPARING -> prepare(now);
       case HOLDING -> hold(now);
       case ARMING -> arm(now);
@@ -202,9 +212,11 @@
   }
 
   /**
-   * Takes in what came of a command.
+   * Processes the result of a command. Results of earlier switches and epochs are ignored.
    *
-   * @param command the command as {@link #tick} gave it
+   * @param command the command as returned by {@link #tick}
+   * @param result its result
+   * @param now the current time, milliseconds
    */
   public void onResult(RankCommand command, Result result, long now) {
     if (command.token() != tokenFor(command.kind()) || command.epoch() != epoch) {
@@ -232,40 +244,40 @@
     }
     if (allConfirmed()) {
       step = nextStep();
-      holder = (holder + 1) % ranks;
-      enter(Phase.HOLDING, now);
+      holdingRank = (holdingRank + 1) % ranks;
+      enterPhase(Phase.HOLDING, now);
       return hold(now);
     }
-    if (now - phaseSince > PREPARE_MILLIS) {
-      enter(Phase.IDLE, now);
+    if (now - phaseSince > PREPARE_TIMEOUT_MILLIS) {
+      enterPhase(Phase.IDLE, now);
       return List.of();
     }
-    return toUnconfirmed(Kind.PREPARE, now, PREPARE_MILLIS);
+    return commandsToUnconfirmed(Kind.PREPARE, now, PREPARE_TIMEOUT_MILLIS);
   }
 
   private List<RankCommand> hold(long now) {
-    if (now < nextTry[holder]) {
+    if (now < nextAttemptAt[holdingRank]) {
       return List.of();
     }
-    if (nextTry[holder] > 0 && !isSettling) {
-      // Unanswered. The hold may still come; it is released with the others. Another rank may be
-      // quicker.
-      nextTry[holder] = 0;
-      holder = (holder + 1) % ranks;
+    if (nextAttemptAt[holdingRank] > 0 && !isRecovering) {
+      // Unanswered: the hold may still take effect, and is released together with the others.
+      // Another rank may answer sooner.
+      nextAttemptAt[holdingRank] = 0;
+      holdingRank = (holdingRank + 1) % ranks;
       step = nextStep();
     }
-    nextTry[holder] = now + REPEAT_MILLIS;
-    triedHold[holder] = step;
-    return List.of(command(holder, Kind.HOLD));
+    nextAttemptAt[holdingRank] = now + RETRY_MILLIS;
+    attemptedHoldStep[holdingRank] = step;
+    return List.of(command(holdingRank, Kind.HOLD));
   }
 
   private List<RankCommand> arm(long now) {
     if (allConfirmed()) {
-      adaptAhead();
+      adjustLeadSteps();
       startRelease(now);
       return release(now);
     }
-    return toUnconfirmed(Kind.ARM, now, REPEAT_MILLIS);
+    return commandsToUnconfirmed(Kind.ARM, now, RETRY_MILLIS);
   }
 
   private List<RankCommand> disarm(long now) {
@@ -273,83 +285,88 @@
       startRelease(now);
       return release(now);
     }
-    return toUnconfirmed(Kind.DISARM, now, REPEAT_MILLIS);
+    return commandsToUnconfirmed(Kind.DISARM, now, RETRY_MILLIS);
   }
 
   private void startRelease(long now) {
-    enter(Phase.RELEASING, now);
+    enterPhase(Phase.RELEASING, now);
     for (int rank = 0; rank < ranks; rank++) {
       OptionalLong held = views.get(rank).heldStep();
-      if (triedHold[rank] == NOT_HELD && held.isPresent()) {
-        triedHold[rank] = held.getAsLong();
+      if (attemptedHoldStep[rank] == NOT_HELD && held.isPresent()) {
+        attemptedHoldStep[rank] = held.getAsLong();
       }
-      confirmed[rank] = triedHold[rank] == NOT_HELD;
+      confirmed[rank] = attemptedHoldStep[rank] == NOT_HELD;
     }
   }
 
   private List<RankCommand> release(long now) {
     if (allConfirmed()) {
-      Arrays.fill(triedHold, NOT_HELD);
-      enter(Phase.SWITCHING, now);
+      Arrays.fill(attemptedHoldStep, NOT_HELD);
+      enterPhase(Phase.SWITCHING, now);
       return List.of();
     }
-    return toUnconfirmed(Kind.RELEASE, now, REPEAT_MILLIS);
+    return commandsToUnconfirmed(Kind.RELEASE, now, RETRY_MILLIS);
   }
 
-  private void adaptAhead() {
-    ahead = hadUnanswered ? CAREFUL_AHEAD : Math.max(FIRST_AHEAD, ahead - 1);
+  private void adjustLeadSteps() {
+    leadSteps = hadUnanswered ? CAUTIOUS_LEAD_STEPS : Math.max(DEFAULT_LEAD_STEPS, leadSteps - 1);
   }
 
   private List<RankCommand> awaitSwitch(long now) {
-    boolean isOver =
-        isComplete(now)
+    boolean isSwitchComplete =
+        hasCurrentViews(now)
             && views.values().stream()
                 .allMatch(view -> view.armedVersion() == 0 && view.at() > phaseSince)
             && mapVersion().isPresent();
-    if (isOver) {
-      enter(Phase.IDLE, now);
+    if (isSwitchComplete) {
+      enterPhase(Phase.IDLE, now);
       return List.of();
     }
-    // A hold of another leader may have come meanwhile; without this the switch would wait for it.
-    return lookForLeftovers(now);
+    // A late hold of another leader may have taken effect; without this check the switch would wait
+    // for it.
+    return detectUnfinishedSwitch(now);
   }
 
-  /** Settles what an earlier leader left, once it has looked the same for a while. */
-  private List<RankCommand> lookForLeftovers(long now) {
-    if (!hasLeftovers() || now < quietUntil) {
-      oddSince = NEVER;
+  /**
+   * Starts the recovery of another leader's unfinished switch once it has been observed long
+   * enough.
+   */
+  private List<RankCommand> detectUnfinishedSwitch(long now) {
+    if (!hasUnfinishedSwitch() || now < yieldUntil) {
+      unfinishedSince = NONE_UNFINISHED;
       return List.of();
     }
-    oddSince = Math.min(oddSince, now);
-    if (now - oddSince >= SETTLE_MILLIS && isComplete(now)) {
-      oddSince = NEVER;
-      settle(now);
+    unfinishedSince = Math.min(unfinishedSince, now);
+    if (now - unfinishedSince >= RECOVERY_DELAY_MILLIS && hasCurrentViews(now)) {
+      unfinishedSince = NONE_UNFINISHED;
+      startRecovery(now);
     }
     return List.of();
   }
 
-  /** Whether a step is held, or some ranks are armed and others not. */
-  private boolean hasLeftovers() {
+  /** Whether a step is held, or the ranks are not all armed alike. */
+  private boolean hasUnfinishedSwitch() {
     boolean isHeld = views.values().stream().anyMatch(view -> view.heldStep().isPresent());
-    long armedWays = views.values().stream().mapToLong(RankView::armedVersion).distinct().count();
-    return isHeld || armedWays > 1;
+    long distinctArmedVersions =
+        views.values().stream().mapToLong(RankView::armedVersion).distinct().count();
+    return isHeld || distinctArmedVersions > 1;
   }
 
-  private void settle(long now) {
+  private void startRecovery(long now) {
     epoch = epoch();
-    token = tokens.next();
-    isSettling = true;
-    Arrays.fill(triedHold, NOT_HELD);
-    long armed = views.values().stream().mapToLong(RankView::armedVersion).max().orElse(0);
-    version = armed > 0 ? armed : highestVersion();
+    token = fencingTokens.next();
+    isRecovering = true;
+    Arrays.fill(attemptedHoldStep, NOT_HELD);
+    long armedVersion = views.values().stream().mapToLong(RankView::armedVersion).max().orElse(0);
+    version = armedVersion > 0 ? armedVersion : highestVersion();
     step =
         views.values().stream()
-            .filter(view -> armed > 0 && view.armedVersion() == armed)
+            .filter(view -> armedVersion > 0 && view.armedVersion() == armedVersion)
             .mapToLong(RankView::armedStep)
             .max()
             .orElse(0);
-    canFinish = armed > 0 && views.values().stream().allMatch(this::canSwitch);
-    if (armed == 0) {
+    canComplete = armedVersion > 0 && views.values().stream().allMatch(this::canSwitch);
+    if (armedVersion == 0) {
       step =
           views.values().stream()
               .filter(view -> view.heldStep().isPresent())
@@ -357,18 +374,19 @@
               .min()
               .orElse(0);
     }
-    holder = holderFor(step);
-    enter(Phase.HOLDING, now);
+    holdingRank = chooseHoldingRank(step);
+    enterPhase(Phase.HOLDING, now);
   }
 
   /**
-   * Chooses the rank that this leader itself has hold a step, before it changes anything. A rank
-   * that already holds it notes the new token by that, so that the last leader, should it still
-   * run, can't release it while only some ranks have been told the new leader's will.
+   * Chooses the rank that holds the step for this leader before it changes anything. A rank that
+   * already holds the step thereby records the new token, so that the previous leader, if it is
+   * still running, cannot release the step while only some ranks have received the new leader's
+   * commands.
    */
-  private int holderFor(long concerned) {
+  private int chooseHoldingRank(long targetStep) {
     return IntStream.range(0, ranks)
-        .filter(rank -> views.get(rank).heldStep().equals(OptionalLong.of(concerned)))
+        .filter(rank -> views.get(rank).heldStep().equals(OptionalLong.of(targetStep)))
         .findFirst()
         .orElseGet(
             () ->
@@ -389,26 +407,26 @@
     }
     int rank = command.rank();
     if (result == Result.UNKNOWN) {
-      nextTry[rank] = now;
-    } else if (result == Result.CONFLICT && tries[rank] == 1) {
-      // A first try that is refused never takes: the rank has had a higher version, or is armed.
-      // A later one may be refused because the first was carried out after all.
-      enter(Phase.IDLE, now);
+      nextAttemptAt[rank] = now;
+    } else if (result == Result.CONFLICT && attempts[rank] == 1) {
+      // A refused first attempt can never succeed: the rank has had a higher version or is armed. A
+      // later attempt may be refused because the first one was carried out after all.
+      enterPhase(Phase.IDLE, now);
     }
   }
 
   private void onHoldResult(RankCommand command, Result result, long now) {
-    if (command.kind() != Kind.HOLD || command.rank() != holder || command.step() != step) {
+    if (command.kind() != Kind.HOLD || command.rank() != holdingRank || command.step() != step) {
       return;
     }
     if (result == Result.DONE) {
-      enter(isSettling && !canFinish ? Phase.DISARMING : Phase.ARMING, now);
-    } else if (result == Result.CONFLICT && isSettling) {
-      enter(Phase.IDLE, now);
+      enterPhase(isRecovering && !canComplete ? Phase.DISARMING : Phase.ARMING, now);
+    } else if (result == Result.CONFLICT && isRecovering) {
+      enterPhase(Phase.IDLE, now);
     } else if (result == Result.CONFLICT) {
-      triedHold[holder] = NOT_HELD;
+      attemptedHoldStep[holdingRank] = NOT_HELD;
       step = Math.max(step + 1, nextStep());
-      nextTry[holder] = 0;
+      nextAttemptAt[holdingRank] = 0;
     }
   }
 
@@ -419,8 +437,8 @@
     if (result == Result.DONE) {
       confirmed[command.rank()] = true;
     } else if (result == Result.CONFLICT && !confirmed[command.rank()]) {
-      // The rank can't switch to this map any more, so none may. The step stays held meanwhile.
-      enter(Phase.DISARMING, now);
+      // The rank can no longer switch to this map, so no rank may. The step stays held meanwhile.
+      enterPhase(Phase.DISARMING, now);
     }
   }
 
@@ -436,19 +454,19 @@
     }
   }
 
-  /** Another leader is at work: leave the group to it, and look again later. */
+  /** Yields to the other leader that fenced a command, and checks the group again later. */
   private void onFenced(long now) {
-    tokens.outbid();
-    quietUntil = now + YIELD_MILLIS;
-    enter(Phase.IDLE, now);
+    fencingTokens.outbid();
+    yieldUntil = now + YIELD_MILLIS;
+    enterPhase(Phase.IDLE, now);
   }
 
-  private List<RankCommand> toUnconfirmed(Kind kind, long now, long repeatMillis) {
+  private List<RankCommand> commandsToUnconfirmed(Kind kind, long now, long retryMillis) {
     List<RankCommand> commands = new ArrayList<>();
     for (int rank = 0; rank < ranks; rank++) {
-      if (!confirmed[rank] && now >= nextTry[rank]) {
-        nextTry[rank] = now + repeatMillis;
-        tries[rank]++;
+      if (!confirmed[rank] && now >= nextAttemptAt[rank]) {
+        nextAttemptAt[rank] = now + retryMillis;
+        attempts[rank]++;
         commands.add(command(rank, kind));
       }
     }
@@ -456,14 +474,15 @@
   }
 
   private RankCommand command(int rank, Kind kind) {
-    long concerned = kind == Kind.RELEASE ? triedHold[rank] : step;
-    return new RankCommand(rank, kind, version, concerned, epoch, tokenFor(kind));
+    long targetStep = kind == Kind.RELEASE ? attemptedHoldStep[rank] : step;
+    return new RankCommand(rank, kind, version, targetStep, epoch, tokenFor(kind));
   }
 
   /**
-   * Later commands of one switch have higher tokens, so that an earlier one still under way is
-   * refused once a rank has answered them; all are below those of the next switch of any leader, so
-   * that a leader which was overtaken can't release what its successor holds.
+   * Returns the fencing token for a command. Later commands of a switch have higher tokens, so that
+   * an earlier one still in flight is refused once a rank has answered a later one. All are below
+   * those of the next switch of any leader, so that a superseded leader cannot release what its
+   * successor holds.
    */
   private long tokenFor(Kind kind) {
     return switch (kind) {
@@ -478,25 +497,25 @@
   }
 
   private long nextStep() {
-    return newestStep() + ahead;
+    return newestStep() + leadSteps;
   }
 
-  private boolean isComplete(long now) {
+  private boolean hasCurrentViews(long now) {
     return views.size() == ranks
         && views.values().stream().mapToLong(RankView::epoch).distinct().count() == 1
         && views.values().stream()
-            .allMatch(view -> view.isOpen() && now - view.at() <= FRESH_MILLIS);
+            .allMatch(view -> view.isOpen() && now - view.at() <= MAXIMUM_VIEW_AGE_MILLIS);
   }
 
   private boolean allConfirmed() {
     return IntStream.range(0, ranks).allMatch(rank -> confirmed[rank]);
   }
 
-  private void enter(Phase next, long now) {
+  private void enterPhase(Phase next, long now) {
     phase = next;
     phaseSince = now;
     Arrays.fill(confirmed, false);
-    Arrays.fill(nextTry, 0);
-    Arrays.fill(tries, 0);
+    Arrays.fill(nextAttemptAt, 0);
+    Arrays.fill(attempts, 0);
   }
 }
--- a/core/src/main/java/dev/ibishub/core/ranks/RankCommand.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/RankCommand.java
@@ -1,17 +1,18 @@
 package dev.ibishub.core.ranks;
 
 /**
- * A command to one rank.
+ * Command to one rank on the platform of ibishub's users; {@code dev.ibishub.core.GroupCommand} is
+ * its counterpart behind ibishub's own interface.
  *
- * @param rank the rank
- * @param kind what to do
- * @param version the map concerned
+ * @param rank the rank's number, from 0
+ * @param kind the operation
+ * @param version version of the map concerned
  * @param step the step concerned
- * @param epoch the epoch that it is meant for
+ * @param epoch the group's epoch that the command is meant for
  * @param token its fencing token
  */
 public record RankCommand(int rank, Kind kind, long version, long step, long epoch, long token) {
-  /** What a rank can be told. */
+  /** Operation that a command requests. */
   public enum Kind {
     PREPARE,
     ARM,
@@ -20,15 +21,15 @@
     RELEASE
   }
 
-  /** What came of a command. */
+  /** Result of a command. */
   public enum Result {
-    /** Carried out, or it already was so. */
+    /** Carried out, now or earlier. */
     DONE,
-    /** It does not fit the rank's state and never will. */
+    /** The command does not fit the state of the rank, and a repetition would not either. */
     CONFLICT,
     /** The rank has seen a higher fencing token. */
     FENCED,
-    /** Not known: it may have been carried out, or may be seconds later. */
+    /** Unknown: the command may have been carried out, or may still be seconds later. */
     UNKNOWN
   }
 }
--- a/core/src/main/java/dev/ibishub/core/ranks/TokenSource.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/TokenSource.java
@@ -1,16 +1,16 @@
 package dev.ibishub.core.ranks;
 
-/** Gives fencing tokens. */
+/** Source of fencing tokens. */
 public interface TokenSource {
-  /** Tokens that one switch may use from the one that it was given on. */
+  /** Number of consecutive tokens reserved for one switch. */
   int PER_SWITCH = 4;
 
   /**
-   * Returns the first of {@link #PER_SWITCH} tokens that are higher than all before, also those of
-   * other leaders as far as can be told.
+   * Returns the first of {@link #PER_SWITCH} tokens that are higher than all earlier ones,
+   * including those of other leaders as far as they are known.
    */
   long next();
 
-  /** Notes that some other leader used a higher one, so that the next is higher than that too. */
+  /** Records that another leader has used a higher token, so that the next one exceeds it. */
   void outbid();
 }
