--- a/core/src/main/java/dev/ibishub/core/ranks/ChangeSearch.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/ChangeSearch.java
@@ -6,39 +6,41 @@
 import java.util.function.IntPredicate;
 
 /**
- * Looks for the change that best relieves the slowest rank of a set. One of its experts is copied
- * or moved to another rank, which may make room for it: it gives up a copy that can be spared,
- * sends one of its own back, or sends one on to a third rank. Or the slowest rank gives up a copy.
- * Not thread-safe.
+ * Search for the change that best relieves the slowest rank in a layer set. One of its experts is
+ * replicated on or moved to another rank, which may make room by dropping a spare replica, by
+ * sending one of its own experts back, or by sending one on to a third rank. Alternatively, the
+ * slowest rank drops a replica. Not thread-safe.
  *
- * <p>A change counts by what it takes off the slowest rank without making another one as slow, for
- * each expert that has to be fetched. So the times of all ranks in falling order become smaller
- * with every change, and the search ends.
+ * <p>The score of a change is the reduction of the slowest rank's time per expert to fetch,
+ * provided that no other rank becomes as slow. The list of all ranks' times in descending order
+ * therefore decreases with every change, so a series of searches terminates.
  */
 final class ChangeSearch {
   /**
-   * Part of the slowest time that a change has to take off; less may be rounding, and changes that
-   * gain nothing could follow each other without end.
+   * Minimum gain as a fraction of the slowest time. Anything less may be a rounding error, and
+   * changes without gain could follow each other endlessly.
    */
-  private static final double LEAST_GAIN = 1e-6;
+  private static final double MINIMUM_GAIN_FRACTION = 1e-6;
 
   /**
-   * Ranks that are tried as takers, those that are done first; all are tried only where none of
+   * Number of destination ranks tried first, the fastest ones; the others are tried only if none of
    * these helps. It bounds the work of a plan as groups grow.
    */
-  private static final int TAKERS_TRIED = 24;
+  private static final int DESTINATION_CANDIDATES = 24;
 
   private final SetLayout layout;
   private final int newPerSet;
   private final IntPredicate mayFetchMore;
 
-  /** The rank that is to be relieved, and how long it takes. */
-  private int slow;
+  /** The slowest rank, which is to be relieved. */
+  private int slowestRank;
 
-  private double slowestNow;
+  private double slowestTime;
 
-  /** The fastest rank that could take an expert which another sends on, or none. */
-  private int roomy;
+  /**
+   * The fastest rank that may take an expert sent on by another rank, or {@link SetLayout#NONE}.
+   */
+  private int spillRank;
 
   private double bestScore;
   private Optional<LayoutChange> best = Optional.empty();
@@ -46,8 +48,9 @@
   /**
    * Creates a search.
    *
-   * @param newPerSet the most experts of the set that a rank may fetch
-   * @param mayFetchMore whether a rank may fetch one more expert, counting all sets
+   * @param layout the layout to improve
+   * @param newPerSet maximum number of experts of the layer set that a rank may fetch
+   * @param mayFetchMore whether a rank may fetch one more expert, counted over all layer sets
    */
   ChangeSearch(SetLayout layout, int newPerSet, IntPredicate mayFetchMore) {
     this.layout = layout;
@@ -55,156 +58,169 @@
     this.mayFetchMore = mayFetchMore;
   }
 
-  /** Returns the best change, or empty when nothing relieves the slowest rank. */
+  /** Returns the best change, or empty when no change relieves the slowest rank. */
   Optional<LayoutChange> find() {
-    layout.sortRanks();
-    slow = layout.slowestRank();
-    slowestNow = layout.time(slow);
-    roomy = fastestWithRoom();
-    bestScore = LEAST_GAIN * slowestNow;
+    layout.sortRanksByTime();
+    slowestRank = layout.slowestRank();
+    slowestTime = layout.time(slowestRank);
+    spillRank = fastestRankWithFreeSlot();
+    bestScore = MINIMUM_GAIN_FRACTION * slowestTime;
     best = Optional.empty();
-    tryTakers(0, Math.min(TAKERS_TRIED, layout.ranks()));
+    tryDestinations(0, Math.min(DESTINATION_CANDIDATES, layout.ranks()));
     if (best.isEmpty()) {
-      tryTakers(TAKERS_TRIED, layout.ranks());
+      tryDestinations(DESTINATION_CANDIDATES, layout.ranks());
     }
     return best;
   }
 
-  /** Tries the ranks whose places in the order of their times are within a range. */
-  private void tryTakers(int first, int end) {
-    for (int place = 0; place < layout.held(slow); place++) {
-      int expert = layout.expertAt(slow, place);
-      if (first == 0 && layout.copies(expert) > 1) {
-        tryDrop(expert);
+  /** Tries destination ranks in a range of positions in the order of their times. */
+  private void tryDestinations(int first, int end) {
+    for (int slot = 0; slot < layout.heldCount(slowestRank); slot++) {
+      int expert = layout.expertAt(slowestRank, slot);
+      if (first == 0 && layout.replicaCount(expert) > 1) {
+        tryRemoval(expert);
       }
-      for (int order = first; order < end; order++) {
-        int to = layout.rankInOrder(order);
-        if (layout.time(to) < slowestNow && mayTake(to, expert)) {
-          tryPlacing(expert, to);
+      for (int position = first; position < end; position++) {
+        int to = layout.rankByTime(position);
+        if (layout.time(to) < slowestTime && mayHold(to, expert)) {
+          tryPlacement(expert, to);
         }
       }
     }
   }
 
-  /** The rank with a free place that is done first, of those that may fetch. */
-  private int fastestWithRoom() {
-    for (int order = 0; order < layout.ranks(); order++) {
-      int rank = layout.rankInOrder(order);
-      if (layout.hasFreePlace(rank)
-          && layout.fetched(rank) < newPerSet
-          && mayFetchMore.test(rank)) {
+  /** Returns the fastest rank that has a free slot and may fetch, or {@link SetLayout#NONE}. */
+  private int fastestRankWithFreeSlot() {
+    for (int position = 0; position < layout.ranks(); position++) {
+      int rank = layout.rankByTime(position);
+      if (layout.hasFreeSlot(rank) && layout.fetched(rank) < newPerSet && mayFetchMore.test(rank)) {
         return rank;
       }
     }
     return SetLayout.NONE;
   }
 
-  private boolean mayTake(int rank, int expert) {
+  private boolean mayHold(int rank, int expert) {
     return !layout.holds(rank, expert)
         && (!layout.needsFetch(rank, expert)
             || (layout.fetched(rank) < newPerSet && mayFetchMore.test(rank)));
   }
 
-  /** The other ranks that hold the expert take its tokens over. */
-  private void tryDrop(int expert) {
-    double here = slowestNow - tokens(expert) * layout.slowness(slow);
-    double slowest = Math.max(here, slowestAfterLoss(expert, slow));
-    propose(slowest, new Relocation(expert, slow, SetLayout.NONE));
+  /** Proposes to drop a replica, whose tokens go to the other ranks that hold the expert. */
+  private void tryRemoval(int expert) {
+    double sourceTime = slowestTime - tokensPerReplica(expert) * layout.slowness(slowestRank);
+    double newSlowestTime = Math.max(sourceTime, slowestTimeAfterRemoval(expert, slowestRank));
+    propose(newSlowestTime, new Relocation(expert, slowestRank, SetLayout.NONE));
   }
 
-  /** The expert goes to another rank, as a further copy or wholly. */
-  private void tryPlacing(int expert, int to) {
-    double moved = tokens(expert);
-    double copied = layout.share(expert, layout.copies(expert) + 1);
-    double hereIfMoved = slowestNow - moved * layout.slowness(slow);
-    double hereIfCopied = slowestNow - (moved - copied) * layout.slowness(slow);
-    // A rank with places left keeps what it has, which also serves a demand that shifts back.
-    if (!layout.hasFreePlace(slow)) {
-      tryRoom(new Relocation(expert, slow, to), hereIfMoved, moved);
+  /** Tries to move an expert to another rank, or to add a replica there. */
+  private void tryPlacement(int expert, int to) {
+    double movedTokens = tokensPerReplica(expert);
+    double replicatedTokens = layout.share(expert, layout.replicaCount(expert) + 1);
+    double sourceTimeIfMoved = slowestTime - movedTokens * layout.slowness(slowestRank);
+    double sourceTimeIfReplicated =
+        slowestTime - (movedTokens - replicatedTokens) * layout.slowness(slowestRank);
+    // A rank with free slots keeps what it has, which also serves demand that shifts back.
+    if (!layout.hasFreeSlot(slowestRank)) {
+      tryMakingRoom(new Relocation(expert, slowestRank, to), sourceTimeIfMoved, movedTokens);
     }
-    tryRoom(new Relocation(expert, SetLayout.NONE, to), hereIfCopied, copied);
+    tryMakingRoom(
+        new Relocation(expert, SetLayout.NONE, to), sourceTimeIfReplicated, replicatedTokens);
   }
 
   /**
-   * Looks for the best way for a rank to take an expert.
+   * Proposes every way for the destination rank to make room for an expert.
    *
-   * @param placing what it takes
-   * @param here how long the relieved rank takes then
-   * @param more the tokens that the rank takes on
+   * @param relocation the expert's relocation
+   * @param sourceTime time of the relieved rank after the relocation
+   * @param addedTokens tokens that the destination takes on
    */
-  private void tryRoom(Relocation placing, double here, double more) {
-    int to = placing.to();
-    double there = layout.time(to) + more * layout.slowness(to);
-    boolean hasFreePlace = layout.hasFreePlace(to);
-    if (!isWorthALook(here)) {
+  private void tryMakingRoom(Relocation relocation, double sourceTime, double addedTokens) {
+    int to = relocation.to();
+    double destinationTime = layout.time(to) + addedTokens * layout.slowness(to);
+    boolean hasFreeSlot = layout.hasFreeSlot(to);
+    if (!canBeatBest(sourceTime)) {
       return;
     }
-    if (hasFreePlace) {
-      propose(Math.max(here, there), placing);
+    if (hasFreeSlot) {
+      propose(Math.max(sourceTime, destinationTime), relocation);
     }
-    for (int place = 0; place < layout.held(to); place++) {
-      int other = layout.expertAt(to, place);
-      double slowest = Math.max(here, there - tokens(other) * layout.slowness(to));
-      if (!isWorthALook(slowest)) {
+    for (int slot = 0; slot < layout.heldCount(to); slot++) {
+      int other = layout.expertAt(to, slot);
+      double newSlowestTime =
+          Math.max(sourceTime, destinationTime - tokensPerReplica(other) * layout.slowness(to));
+      if (!canBeatBest(newSlowestTime)) {
         continue;
       }
-      if (layout.copies(other) > 1) {
-        double others = slowestAfterLoss(other, to);
-        propose(Math.max(slowest, others), placing, other, to, SetLayout.NONE);
+      if (layout.replicaCount(other) > 1) {
+        double otherHoldersTime = slowestTimeAfterRemoval(other, to);
+        propose(Math.max(newSlowestTime, otherHoldersTime), relocation, other, to, SetLayout.NONE);
       }
-      if (placing.from() == slow && mayTake(slow, other)) {
-        double back = here + tokens(other) * layout.slowness(slow);
-        propose(Math.max(slowest, back), placing, other, to, slow);
+      if (relocation.from() == slowestRank && mayHold(slowestRank, other)) {
+        double sourceTimeAfterSwap =
+            sourceTime + tokensPerReplica(other) * layout.slowness(slowestRank);
+        propose(Math.max(newSlowestTime, sourceTimeAfterSwap), relocation, other, to, slowestRank);
       }
-      if (roomy != SetLayout.NONE && roomy != to && roomy != slow && mayTake(roomy, other)) {
-        double onward = layout.time(roomy) + tokens(other) * layout.slowness(roomy);
-        propose(Math.max(slowest, onward), placing, other, to, roomy);
+      if (spillRank != SetLayout.NONE
+          && spillRank != to
+          && spillRank != slowestRank
+          && mayHold(spillRank, other)) {
+        double spillTime =
+            layout.time(spillRank) + tokensPerReplica(other) * layout.slowness(spillRank);
+        propose(Math.max(newSlowestTime, spillTime), relocation, other, to, spillRank);
       }
     }
   }
 
-  /** Tokens of an expert that each rank with a copy gets now. */
-  private double tokens(int expert) {
-    return layout.share(expert, layout.copies(expert));
+  /** Returns the tokens of an expert that each of its replicas currently gets. */
+  private double tokensPerReplica(int expert) {
+    return layout.share(expert, layout.replicaCount(expert));
   }
 
-  /** Whether a change with such an outcome could be the best, were it free of fetches. */
-  private boolean isWorthALook(double slowest) {
-    return slowestNow - slowest > bestScore;
+  /** Whether a change with the given slowest time could be the best if it needed no fetch. */
+  private boolean canBeatBest(double newSlowestTime) {
+    return slowestTime - newSlowestTime > bestScore;
   }
 
-  /** How long the slowest other holder of a copy takes when one rank gives its copy up. */
-  private double slowestAfterLoss(int expert, int loser) {
-    double more = layout.share(expert, layout.copies(expert) - 1) - tokens(expert);
-    double slowest = 0;
-    for (int copy = 0; copy < layout.copies(expert); copy++) {
-      int rank = layout.holder(expert, copy);
-      if (rank != loser) {
-        slowest = Math.max(slowest, layout.time(rank) + more * layout.slowness(rank));
+  /**
+   * Returns the time of the slowest remaining holder of an expert after one rank drops its replica.
+   */
+  private double slowestTimeAfterRemoval(int expert, int removedFrom) {
+    double addedTokens =
+        layout.share(expert, layout.replicaCount(expert) - 1) - tokensPerReplica(expert);
+    double slowestHolderTime = 0;
+    for (int replica = 0; replica < layout.replicaCount(expert); replica++) {
+      int rank = layout.holder(expert, replica);
+      if (rank != removedFrom) {
+        slowestHolderTime =
+            Math.max(slowestHolderTime, layout.time(rank) + addedTokens * layout.slowness(rank));
       }
     }
-    return slowest;
+    return slowestHolderTime;
   }
 
-  private void propose(double slowest, Relocation placing) {
-    propose(slowest, placing, SetLayout.NONE, SetLayout.NONE, SetLayout.NONE);
+  private void propose(double newSlowestTime, Relocation relocation) {
+    propose(newSlowestTime, relocation, SetLayout.NONE, SetLayout.NONE, SetLayout.NONE);
   }
 
-  /** Notes a change that is the best so far; its second part is spelled out, as most aren't. */
-  private void propose(double slowest, Relocation placing, int other, int from, int to) {
-    if (!isWorthALook(slowest)) {
+  /**
+   * Records a change if it is the best so far. The second relocation is passed as plain values
+   * because most proposals are rejected.
+   */
+  private void propose(double newSlowestTime, Relocation relocation, int other, int from, int to) {
+    if (!canBeatBest(newSlowestTime)) {
       return;
     }
-    int fetches = fetches(placing.to(), placing.expert()) + fetches(to, other);
-    double score = (slowestNow - slowest) / Math.max(1, fetches);
+    int fetches = fetches(relocation.to(), relocation.expert()) + fetches(to, other);
+    double score = (slowestTime - newSlowestTime) / Math.max(1, fetches);
     if (score <= bestScore) {
       return;
     }
     bestScore = score;
     List<Relocation> relocations =
         other == SetLayout.NONE
-            ? List.of(placing)
-            : List.of(placing, new Relocation(other, from, to));
+            ? List.of(relocation)
+            : List.of(relocation, new Relocation(other, from, to));
     best = Optional.of(new LayoutChange(relocations));
   }
 
--- a/core/src/main/java/dev/ibishub/core/ranks/GroupMap.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/GroupMap.java
@@ -4,8 +4,9 @@
 import java.util.stream.IntStream;
 
 /**
- * Which ranks hold which experts, set by set. Ranks that hold the same expert share its tokens
- * evenly. Immutable.
+ * Assignment of experts to ranks in each layer set. Ranks that hold the same expert share its
+ * tokens evenly. Immutable and thread-safe. It is used on the platform of ibishub's users; {@code
+ * dev.ibishub.core.ExpertMap} is its counterpart behind ibishub's own interface.
  */
 public final class GroupMap {
   private final int[][][] experts;
@@ -17,17 +18,19 @@
   /**
    * Creates a map.
    *
-   * @param experts experts by set and rank
+   * @param experts the experts, by layer set and rank; copied
    */
   public static GroupMap of(int[][][] experts) {
     return new GroupMap(copy(experts));
   }
 
   /**
-   * Creates the map of a group that has just formed: in each set the experts go to the ranks in
-   * turn, one copy each.
+   * Creates the map of a newly formed group: in each layer set the experts are assigned to the
+   * ranks round-robin, without replicas.
    *
-   * @param experts how many experts each set has
+   * @param ranks number of ranks
+   * @param sets number of layer sets
+   * @param experts number of experts in each layer set
    */
   public static GroupMap inTurn(int ranks, int sets, int experts) {
     int[][] set =
@@ -45,12 +48,12 @@
     return experts.length == 0 ? 0 : experts[0].length;
   }
 
-  /** Returns the experts by set and rank. */
+  /** Returns a copy of the experts, by layer set and rank. */
   public int[][][] experts() {
     return copy(experts);
   }
 
-  /** Whether each of a number of experts is held by some rank in each set. */
+  /** Whether every layer set holds the given number of distinct experts. */
   public boolean holdsAll(int numberOfExperts) {
     return Arrays.stream(experts)
         .allMatch(
@@ -59,7 +62,7 @@
                     == numberOfExperts);
   }
 
-  /** Counts the experts that a rank would have to fetch to come from this map to another. */
+  /** Returns the number of experts that a rank must fetch to switch from this map to another. */
   public int fetches(GroupMap next, int rank) {
     return IntStream.range(0, sets())
         .map(
@@ -68,12 +71,12 @@
                     Arrays.stream(next.experts[set][rank])
                         .filter(
                             expert ->
-                                Arrays.stream(experts[set][rank]).noneMatch(own -> own == expert))
+                                Arrays.stream(experts[set][rank]).noneMatch(held -> held == expert))
                         .count())
         .sum();
   }
 
-  /** Returns the tokens of each rank in a set when experts get tokens as given. */
+  /** Returns the tokens of each rank in a layer set, given the tokens of each expert. */
   public double[] loads(int set, double[] demand) {
     int[] holders = new int[demand.length];
     Arrays.stream(experts[set]).flatMapToInt(Arrays::stream).forEach(expert -> holders[expert]++);
@@ -83,17 +86,19 @@
   }
 
   /**
-   * Measures the map.
+   * Returns the skew of the map.
    *
-   * @param demand tokens by set and expert
-   * @param slowness time that each rank takes for a token
-   * @return how many times the least time the slowest ranks take, over all sets; 1 at the best
+   * @param demand tokens, by layer set and expert
+   * @param slowness relative time for a token, by rank
+   * @return time of the slowest ranks over all layer sets as a multiple of the ideal; 1 for a
+   *     perfect balance
    */
   public double skew(double[][] demand, double[] slowness) {
     double slowest =
         IntStream.range(0, sets()).mapToDouble(set -> slowest(set, demand[set], slowness)).sum();
-    double least = Arrays.stream(demand).mapToDouble(ofSet -> leastTime(ofSet, slowness)).sum();
-    return least == 0 ? 1 : slowest / least;
+    double ideal =
+        Arrays.stream(demand).mapToDouble(setDemand -> idealTime(setDemand, slowness)).sum();
+    return ideal == 0 ? 1 : slowest / ideal;
   }
 
   private double slowest(int set, double[] demand, double[] slowness) {
@@ -104,8 +109,8 @@
         .orElse(0);
   }
 
-  /** The time that all ranks would take if each got tokens by its speed. */
-  static double leastTime(double[] demand, double[] slowness) {
+  /** Returns the time of every rank under a perfect balance, with tokens in proportion to speed. */
+  static double idealTime(double[] demand, double[] slowness) {
     double speed = Arrays.stream(slowness).map(each -> 1 / each).sum();
     return Arrays.stream(demand).sum() / speed;
   }
--- a/core/src/main/java/dev/ibishub/core/ranks/LayoutChange.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/LayoutChange.java
@@ -3,28 +3,28 @@
 import java.util.List;
 
 /**
- * A change that relieves the slowest rank of a set.
+ * Change that relieves the slowest rank of a layer set.
  *
  * @param relocations its parts, in any order
  */
 record LayoutChange(List<Relocation> relocations) {
 
   /**
-   * An expert that is held elsewhere.
+   * Relocation of an expert, or the addition or removal of a replica.
    *
    * @param expert the expert
-   * @param from the rank that gives it up, or {@link SetLayout#NONE} where a copy is added
-   * @param to the rank that takes it, or {@link SetLayout#NONE} where a copy is given up
+   * @param from the rank that drops it, or {@link SetLayout#NONE} when a replica is added
+   * @param to the rank that receives it, or {@link SetLayout#NONE} when a replica is removed
    */
   record Relocation(int expert, int from, int to) {}
 
-  /** Carries the change out; what is given up goes first, so that no rank holds too many. */
+  /** Applies the change. Removals come first, so that no rank exceeds its slots. */
   void apply(SetLayout layout) {
     relocations.stream()
-        .filter(each -> each.from() != SetLayout.NONE)
-        .forEach(each -> layout.giveUp(each.from(), each.expert()));
+        .filter(relocation -> relocation.from() != SetLayout.NONE)
+        .forEach(relocation -> layout.drop(relocation.from(), relocation.expert()));
     relocations.stream()
-        .filter(each -> each.to() != SetLayout.NONE)
-        .forEach(each -> layout.take(each.to(), each.expert()));
+        .filter(relocation -> relocation.to() != SetLayout.NONE)
+        .forEach(relocation -> layout.add(relocation.to(), relocation.expert()));
   }
 }
--- a/core/src/main/java/dev/ibishub/core/ranks/MapEconomy.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/MapEconomy.java
@@ -3,69 +3,71 @@
 import java.util.function.DoubleUnaryOperator;
 
 /**
- * What a map costs and gains: copying takes time in which the old map stays in use and passes are
- * longer, and the map shortens passes as long as the demand stands for which it was made. Immutable
- * and thread-safe.
+ * Model of the cost and gain of a map. During the fetches the old map stays in use and steps are
+ * slower; afterwards steps are faster for as long as the demand persists that the map was made for.
+ * Immutable and thread-safe.
  *
- * @param passMillis how long a pass takes at a skew, milliseconds
- * @param fetchMillis how long a rank copies one expert, milliseconds
- * @param switchMillis what passes besides the copying until all ranks use the map, milliseconds
- * @param copyingSlowdown by what part of their length passes are longer while a rank copies
- * @param demandMillis how long the demand is expected to stand, milliseconds
+ * @param stepMillis duration of a step at a given skew, milliseconds
+ * @param fetchMillis time for a rank to fetch one expert, milliseconds
+ * @param switchMillis time besides the fetches until all ranks use the map, milliseconds
+ * @param fetchSlowdown relative increase of the step duration while a rank fetches
+ * @param demandLifetimeMillis how long the demand is expected to persist, milliseconds
  */
 public record MapEconomy(
-    DoubleUnaryOperator passMillis,
+    DoubleUnaryOperator stepMillis,
     double fetchMillis,
     double switchMillis,
-    double copyingSlowdown,
-    double demandMillis) {
+    double fetchSlowdown,
+    double demandLifetimeMillis) {
 
   /**
-   * Takes a switch for at most half of what the demand stands. A group that was held for seconds
-   * once would otherwise get no map any more: each would seem to come too late, and without a new
-   * one no shorter switch is ever seen.
+   * Limits the time of a switch to half of the time that the demand persists. Otherwise a group
+   * whose switch once stalled for seconds would get no further map: every map would seem too late,
+   * and without a new one no shorter switch would ever be observed.
    */
   public MapEconomy {
-    switchMillis = Math.min(switchMillis, demandMillis / 2);
+    switchMillis = Math.min(switchMillis, demandLifetimeMillis / 2);
   }
 
   /**
-   * Returns what a map gains in the end.
+   * Returns the net gain of a map.
    *
    * @param map the map
    * @param skewNow the skew of the map in use
-   * @return milliseconds of the group's work; negative where the map costs more than it gains
+   * @return milliseconds of the group's work; negative if the map costs more than it gains
    */
-  double gain(Step map, double skewNow) {
-    double rest = demandMillis - readyMillis(map);
-    return rest * saved(map, skewNow) - copyingCost(map);
+  double gain(MapProfile map, double skewNow) {
+    double remainingMillis = demandLifetimeMillis - readyMillis(map);
+    return remainingMillis * savedFraction(map, skewNow) - fetchCost(map);
   }
 
-  /** Returns what a map gains that is followed by a further one, which is copied on top of it. */
-  double gain(Step first, Step second, double skewNow) {
-    double between = (second.fetches() - first.fetches()) * fetchMillis + switchMillis;
-    double rest = demandMillis - readyMillis(first) - between;
-    return between * saved(first, skewNow) + rest * saved(second, skewNow) - copyingCost(second);
+  /** Returns the net gain of a map followed by another one that builds on it. */
+  double gain(MapProfile first, MapProfile second, double skewNow) {
+    double untilSecondMillis = (second.fetches() - first.fetches()) * fetchMillis + switchMillis;
+    double remainingMillis = demandLifetimeMillis - readyMillis(first) - untilSecondMillis;
+    return untilSecondMillis * savedFraction(first, skewNow)
+        + remainingMillis * savedFraction(second, skewNow)
+        - fetchCost(second);
   }
 
   /**
-   * A map on the way to an even one.
+   * Properties of a map that determine its cost and gain.
    *
-   * @param fetches how many experts the rank that fetches most has to fetch to come to it
-   * @param skew the skew that it has
+   * @param fetches maximum number of experts that any one rank must fetch for it
+   * @param skew its skew
    */
-  record Step(int fetches, double skew) {}
+  record MapProfile(int fetches, double skew) {}
 
-  private double readyMillis(Step map) {
+  private double readyMillis(MapProfile map) {
     return map.fetches() * fetchMillis + switchMillis;
   }
 
-  private double copyingCost(Step map) {
-    return map.fetches() * fetchMillis * copyingSlowdown;
+  private double fetchCost(MapProfile map) {
+    return map.fetches() * fetchMillis * fetchSlowdown;
   }
 
-  /** Part of the group's time that a map saves. */
-  private double saved(Step map, double skewNow) {
-    return 1 - passMillis.applyAsDouble(map.skew()) / passMillis.applyAsDouble(skewNow);
+  /** Returns the fraction of the group's time that a map saves. */
+  private double savedFraction(MapProfile map, double skewNow) {
+    return 1 - stepMillis.applyAsDouble(map.skew()) / stepMillis.applyAsDouble(skewNow);
   }
 }
--- a/core/src/main/java/dev/ibishub/core/ranks/PlacementLimits.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/PlacementLimits.java
@@ -1,16 +1,16 @@
 package dev.ibishub.core.ranks;
 
 /**
- * What a plan has to keep, and when it is good enough.
+ * Limits that a plan must respect, and the skew at which it is good enough.
  *
- * @param placesPerRank the most experts of a set that a rank holds
- * @param newPerSet the most experts of a set that a rank may fetch for one map
- * @param newPerRank the most experts over all sets that a rank may fetch for one map
- * @param goodSkew no expert is moved in a set whose slowest rank takes no more than this many times
- *     the least time
+ * @param placesPerRank maximum number of experts of a layer set that a rank holds
+ * @param newPerSet maximum number of experts of a layer set that a rank may fetch for one map
+ * @param newPerRank maximum number of experts over all layer sets that a rank may fetch for one map
+ * @param goodSkew no expert is moved in a layer set whose slowest rank takes at most this multiple
+ *     of the ideal time
  */
 public record PlacementLimits(int placesPerRank, int newPerSet, int newPerRank, double goodSkew) {
-  /** Checks that anything can be moved. */
+  /** Checks that all limits are at least 1. */
   public PlacementLimits {
     if (placesPerRank < 1 || newPerSet < 1 || newPerRank < 1 || !(goodSkew >= 1)) {
       throw new IllegalArgumentException(
--- a/core/src/main/java/dev/ibishub/core/ranks/PlacementPlanner.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/PlacementPlanner.java
@@ -9,23 +9,25 @@
 import java.util.stream.Stream;
 
 /**
- * Plans the next map of a group. The more experts each rank may fetch the more even the map becomes
- * and the later it is there, so maps are made for ever more fetches, each on top of the one before,
- * and the one is chosen that gains most, alone or followed by one of the others. Stateless.
+ * Plans the next map of a group. More fetches per rank make a map more balanced but delay it. So
+ * candidate maps are made for increasing numbers of fetches, each building on the previous one, and
+ * the candidate with the largest gain is chosen, alone or followed by a later candidate. Stateless
+ * and thread-safe. It is used on the platform of ibishub's users; {@code
+ * dev.ibishub.core.ExpertPlanner} is its counterpart behind ibishub's own interface.
  */
 public final class PlacementPlanner {
   private PlacementPlanner() {}
 
   /**
-   * A planned map.
+   * Planned map.
    *
    * @param map the map
-   * @param fetches how many experts have to be copied in all
-   * @param fetchesOfARank how many of them by the rank that has to copy most
-   * @param skewBefore times the least time that the slowest ranks take now
-   * @param skewAfter and would take with the map
-   * @param gainMillis what the map, and one that may follow it, gain as long as the demand stands,
-   *     in milliseconds of the group's work
+   * @param fetches number of experts to fetch over all ranks
+   * @param fetchesOfARank maximum number of experts that any one rank must fetch
+   * @param skewBefore skew of the current map, as a multiple of the ideal time
+   * @param skewAfter skew of the planned map, as a multiple of the ideal time
+   * @param gainMillis net gain of the map, and of one that may follow it, while the demand
+   *     persists, in milliseconds of the group's work
    */
   public record Plan(
       GroupMap map,
@@ -35,18 +37,18 @@
       double skewAfter,
       double gainMillis) {}
 
-  private record Stage(GroupMap map, int fetches, MapEconomy.Step step) {}
+  private record Candidate(GroupMap map, int fetches, MapEconomy.MapProfile profile) {}
 
-  private record Choice(Stage stage, double gainMillis) {}
+  private record Choice(Candidate candidate, double gainMillis) {}
 
   /**
-   * Plans.
+   * Plans the next map.
    *
    * @param current the map in use
-   * @param demand tokens by set and expert
-   * @param slowness time that each rank takes for a token, 1 for the usual time
-   * @param limits what the plan has to keep
-   * @param economy what maps cost and gain
+   * @param demand tokens, by layer set and expert
+   * @param slowness relative time for a token, by rank; 1 for a normal rank
+   * @param limits limits that the plan must respect
+   * @param economy model of the cost and gain of maps
    * @return the plan, or empty when no map gains more than it costs
    */
   public static Optional<Plan> plan(
@@ -60,65 +62,70 @@
     }
     PlacementSearch search = new PlacementSearch(current, demand, slowness, limits);
     double skewNow = search.skew();
-    return choices(stages(search, skewNow, limits), economy, skewNow)
+    return choices(candidates(search, skewNow, limits), economy, skewNow)
         .max(Comparator.comparingDouble(Choice::gainMillis))
         .filter(choice -> choice.gainMillis() > 0)
         .map(choice -> planOf(choice, skewNow));
   }
 
-  /** The maps for one fetch a rank, two, four and so on, each more even than the one before. */
-  private static List<Stage> stages(
+  /** Returns the maps for 1, 2, 4, ... fetches per rank that improve on the previous one. */
+  private static List<Candidate> candidates(
       PlacementSearch search, double skewNow, PlacementLimits limits) {
-    List<Stage> stages = new ArrayList<>();
-    double skewBefore = skewNow;
+    List<Candidate> candidates = new ArrayList<>();
+    double previousSkew = skewNow;
     for (int fetches : fetchLimits(limits.newPerRank())) {
-      search.improve(fetches);
+      search.balance(fetches);
       double skew = search.skew();
-      if (skew < skewBefore) {
-        MapEconomy.Step step = new MapEconomy.Step(search.mostFetchesOfARank(), skew);
-        stages.add(new Stage(search.map(), search.fetches(), step));
-        skewBefore = skew;
+      if (skew < previousSkew) {
+        MapEconomy.MapProfile profile =
+            new MapEconomy.MapProfile(search.maximumFetchesPerRank(), skew);
+        candidates.add(new Candidate(search.map(), search.fetches(), profile));
+        previousSkew = skew;
       }
     }
-    return stages;
+    return candidates;
   }
 
-  /** One, two, four and so on, and last the most. */
-  private static int[] fetchLimits(int most) {
+  /** Returns the powers of two below the maximum, and the maximum. */
+  private static int[] fetchLimits(int maximum) {
     return IntStream.concat(
-            IntStream.iterate(1, fetches -> fetches < most, fetches -> 2 * fetches),
-            IntStream.of(most))
+            IntStream.iterate(1, fetches -> fetches < maximum, fetches -> 2 * fetches),
+            IntStream.of(maximum))
         .toArray();
   }
 
-  private static Stream<Choice> choices(List<Stage> stages, MapEconomy economy, double skewNow) {
-    return IntStream.range(0, stages.size())
+  private static Stream<Choice> choices(
+      List<Candidate> candidates, MapEconomy economy, double skewNow) {
+    return IntStream.range(0, candidates.size())
         .boxed()
         .flatMap(
             first ->
                 Stream.concat(
-                    Stream.of(alone(stages.get(first), economy, skewNow)),
-                    stages.stream()
+                    Stream.of(withoutSuccessor(candidates.get(first), economy, skewNow)),
+                    candidates.stream()
                         .skip(first + 1L)
-                        .map(second -> followed(stages.get(first), second, economy, skewNow))));
+                        .map(
+                            second ->
+                                withSuccessor(candidates.get(first), second, economy, skewNow))));
   }
 
-  private static Choice alone(Stage stage, MapEconomy economy, double skewNow) {
-    return new Choice(stage, economy.gain(stage.step(), skewNow));
+  private static Choice withoutSuccessor(Candidate candidate, MapEconomy economy, double skewNow) {
+    return new Choice(candidate, economy.gain(candidate.profile(), skewNow));
   }
 
-  private static Choice followed(Stage first, Stage second, MapEconomy economy, double skewNow) {
-    return new Choice(first, economy.gain(first.step(), second.step(), skewNow));
+  private static Choice withSuccessor(
+      Candidate first, Candidate second, MapEconomy economy, double skewNow) {
+    return new Choice(first, economy.gain(first.profile(), second.profile(), skewNow));
   }
 
   private static Plan planOf(Choice choice, double skewNow) {
-    Stage stage = choice.stage();
+    Candidate candidate = choice.candidate();
     return new Plan(
-        stage.map(),
-        stage.fetches(),
-        stage.step().fetches(),
+        candidate.map(),
+        candidate.fetches(),
+        candidate.profile().fetches(),
         skewNow,
-        stage.step().skew(),
+        candidate.profile().skew(),
         choice.gainMillis());
   }
 }
--- a/core/src/main/java/dev/ibishub/core/ranks/PlacementSearch.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/PlacementSearch.java
@@ -6,13 +6,13 @@
 import java.util.stream.IntStream;
 
 /**
- * Makes the sets of a group more even, change by change, always in the set that has most to gain.
- * Not thread-safe.
+ * Balances the layer sets of a group, one change at a time, always in the layer set with the
+ * largest excess over the acceptable time. Not thread-safe.
  */
 final class PlacementSearch {
   private final SetLayout[] layouts;
   private final ChangeSearch[] searches;
-  private final double[] leastTimes;
+  private final double[] idealTimes;
   private final PlacementLimits limits;
   private final int[] fetchedByRank;
   private int fetchesAllowed;
@@ -30,42 +30,44 @@
         Arrays.stream(layouts)
             .map(layout -> new ChangeSearch(layout, limits.newPerSet(), this::mayFetch))
             .toArray(ChangeSearch[]::new);
-    this.leastTimes =
-        Arrays.stream(demand).mapToDouble(ofSet -> GroupMap.leastTime(ofSet, slowness)).toArray();
+    this.idealTimes =
+        Arrays.stream(demand)
+            .mapToDouble(setDemand -> GroupMap.idealTime(setDemand, slowness))
+            .toArray();
   }
 
   /**
-   * Changes what gains, until nothing does.
+   * Applies changes until none gains.
    *
-   * @param mostFetches the most experts that a rank may fetch over all sets
+   * @param maximumFetches maximum number of experts that a rank may fetch over all layer sets
    */
-  void improve(int mostFetches) {
-    fetchesAllowed = mostFetches;
-    boolean[] isStuck = new boolean[layouts.length];
-    Optional<Integer> next = mostUneven(isStuck);
+  void balance(int maximumFetches) {
+    fetchesAllowed = maximumFetches;
+    boolean[] isExhausted = new boolean[layouts.length];
+    Optional<Integer> next = setWithLargestExcess(isExhausted);
     while (next.isPresent()) {
       int set = next.get();
       Optional<LayoutChange> change = searches[set].find();
-      change.ifPresent(found -> apply(set, found));
-      isStuck[set] = change.isEmpty();
-      next = mostUneven(isStuck);
+      change.ifPresent(improvement -> apply(set, improvement));
+      isExhausted[set] = change.isEmpty();
+      next = setWithLargestExcess(isExhausted);
     }
   }
 
-  /** Returns how many times the least time the slowest ranks take, over all sets. */
+  /** Returns the time of the slowest ranks over all layer sets as a multiple of the ideal. */
   double skew() {
     double slowest =
         Arrays.stream(layouts).mapToDouble(layout -> layout.time(layout.slowestRank())).sum();
-    return slowest / Arrays.stream(leastTimes).sum();
+    return slowest / Arrays.stream(idealTimes).sum();
   }
 
-  /** Returns how many experts all ranks have to fetch. */
+  /** Returns the number of experts to fetch over all ranks. */
   int fetches() {
     return Arrays.stream(fetchedByRank).sum();
   }
 
-  /** Returns how many experts the rank has to fetch that has to fetch most. */
-  int mostFetchesOfARank() {
+  /** Returns the maximum number of experts that any one rank must fetch. */
+  int maximumFetchesPerRank() {
     return Arrays.stream(fetchedByRank).max().orElse(0);
   }
 
@@ -73,30 +75,30 @@
     return GroupMap.of(Arrays.stream(layouts).map(SetLayout::experts).toArray(int[][][]::new));
   }
 
-  private Optional<Integer> mostUneven(boolean[] isStuck) {
+  private Optional<Integer> setWithLargestExcess(boolean[] isExhausted) {
     return IntStream.range(0, layouts.length)
-        .filter(set -> !isStuck[set] && excess(set) > 0)
+        .filter(set -> !isExhausted[set] && excess(set) > 0)
         .boxed()
         .max(Comparator.comparingDouble(this::excess));
   }
 
-  /** What a set's slowest rank takes beyond what is good enough. */
+  /** Returns how far the time of a layer set's slowest rank exceeds the acceptable time. */
   private double excess(int set) {
     SetLayout layout = layouts[set];
-    return layout.time(layout.slowestRank()) - limits.goodSkew() * leastTimes[set];
+    return layout.time(layout.slowestRank()) - limits.goodSkew() * idealTimes[set];
   }
 
   private void apply(int set, LayoutChange change) {
     SetLayout layout = layouts[set];
-    int[] touched =
+    int[] affectedRanks =
         change.relocations().stream()
-            .flatMapToInt(each -> IntStream.of(each.from(), each.to()))
+            .flatMapToInt(relocation -> IntStream.of(relocation.from(), relocation.to()))
             .filter(rank -> rank != SetLayout.NONE)
             .distinct()
             .toArray();
-    Arrays.stream(touched).forEach(rank -> fetchedByRank[rank] -= layout.fetched(rank));
+    Arrays.stream(affectedRanks).forEach(rank -> fetchedByRank[rank] -= layout.fetched(rank));
     change.apply(layout);
-    Arrays.stream(touched).forEach(rank -> fetchedByRank[rank] += layout.fetched(rank));
+    Arrays.stream(affectedRanks).forEach(rank -> fetchedByRank[rank] += layout.fetched(rank));
   }
 
   private boolean mayFetch(int rank) {
--- a/core/src/main/java/dev/ibishub/core/ranks/SetLayout.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/SetLayout.java
@@ -4,220 +4,222 @@
 import java.util.stream.IntStream;
 
 /**
- * Which ranks hold which experts of one set while a plan is made, and how long each rank's part of
- * the set takes. Not thread-safe.
+ * Assignment of the experts of one layer set to ranks while a plan is made, and the resulting time
+ * of each rank. Not thread-safe.
  */
 final class SetLayout {
-  /** Stands for no expert and for no rank. */
+  /** Denotes the absence of an expert or a rank. */
   static final int NONE = -1;
 
-  private static final int USUAL_COPIES = 4;
+  private static final int INITIAL_REPLICA_CAPACITY = 4;
 
   private final double[] demand;
   private final double[] slowness;
-  private final int places;
-  private final int[][] before;
+  private final int slots;
+  private final int[][] initialExperts;
 
-  /** Experts of each rank; of a row the first {@link #held} count. */
-  private final int[][] expertsOf;
+  /** Experts by rank; only the first {@link #heldCount} elements of a row are valid. */
+  private final int[][] expertsByRank;
 
-  private final int[] held;
+  private final int[] heldCount;
 
-  /** Ranks that hold each expert; of a row the first {@link #copies} count. */
-  private final int[][] holdersOf;
+  /**
+   * Ranks that hold each expert; only the first {@link #replicaCount} elements of a row are valid.
+   */
+  private final int[][] holdersByExpert;
 
-  private final int[] copies;
+  private final int[] replicaCount;
   private final int[] fetched;
   private final double[] time;
 
-  /** The ranks in the order of their times, as of the last sorting. */
-  private final int[] order;
+  /** Ranks by ascending time, as of the last call of {@link #sortRanksByTime}. */
+  private final int[] ranksByTime;
 
-  /** The slowest rank, or {@link #NONE} where it has to be looked for. */
-  private int slowest = NONE;
+  /** The slowest rank, or {@link #NONE} if it must be recomputed. */
+  private int cachedSlowestRank = NONE;
 
   /**
-   * Creates the layout of a set as it is.
+   * Creates the layout of a layer set from the map in use.
    *
-   * @param before experts by rank
-   * @param demand tokens by expert
-   * @param slowness time that each rank takes for a token
-   * @param places the most experts that a rank holds
+   * @param initialExperts experts, by rank
+   * @param demand tokens, by expert
+   * @param slowness relative time for a token, by rank
+   * @param slots maximum number of experts that a rank holds; raised to the number already held
    */
-  SetLayout(int[][] before, double[] demand, double[] slowness, int places) {
+  SetLayout(int[][] initialExperts, double[] demand, double[] slowness, int slots) {
     this.demand = demand;
     this.slowness = slowness;
-    this.places = Math.max(places, mostHeld(before));
-    this.before = before;
-    this.expertsOf = new int[before.length][this.places];
-    this.held = new int[before.length];
-    this.holdersOf = new int[demand.length][USUAL_COPIES];
-    this.copies = new int[demand.length];
-    this.fetched = new int[before.length];
-    this.time = new double[before.length];
-    this.order = IntStream.range(0, before.length).toArray();
-    for (int rank = 0; rank < before.length; rank++) {
-      for (int expert : before[rank]) {
-        link(rank, expert);
+    this.slots = Math.max(slots, maximumHeld(initialExperts));
+    this.initialExperts = initialExperts;
+    this.expertsByRank = new int[initialExperts.length][this.slots];
+    this.heldCount = new int[initialExperts.length];
+    this.holdersByExpert = new int[demand.length][INITIAL_REPLICA_CAPACITY];
+    this.replicaCount = new int[demand.length];
+    this.fetched = new int[initialExperts.length];
+    this.time = new double[initialExperts.length];
+    this.ranksByTime = IntStream.range(0, initialExperts.length).toArray();
+    for (int rank = 0; rank < initialExperts.length; rank++) {
+      for (int expert : initialExperts[rank]) {
+        addHolding(rank, expert);
       }
     }
-    for (int rank = 0; rank < before.length; rank++) {
+    for (int rank = 0; rank < initialExperts.length; rank++) {
       computeTime(rank);
     }
   }
 
-  /** Returns a copy of the experts by rank, in the order of their numbers. */
+  /** Returns a copy of the experts by rank, in ascending order. */
   int[][] experts() {
     return IntStream.range(0, ranks())
-        .mapToObj(rank -> Arrays.stream(expertsOf[rank], 0, held[rank]).sorted().toArray())
+        .mapToObj(rank -> Arrays.stream(expertsByRank[rank], 0, heldCount[rank]).sorted().toArray())
         .toArray(int[][]::new);
   }
 
   int ranks() {
-    return expertsOf.length;
+    return expertsByRank.length;
   }
 
-  /** Returns how many experts a rank holds. */
-  int held(int rank) {
-    return held[rank];
+  /** Returns the number of experts that a rank holds. */
+  int heldCount(int rank) {
+    return heldCount[rank];
   }
 
-  /** Returns one of the experts that a rank holds. */
-  int expertAt(int rank, int place) {
-    return expertsOf[rank][place];
+  /** Returns the expert in a slot of a rank. */
+  int expertAt(int rank, int slot) {
+    return expertsByRank[rank][slot];
   }
 
-  int copies(int expert) {
-    return copies[expert];
+  int replicaCount(int expert) {
+    return replicaCount[expert];
   }
 
-  int holder(int expert, int copy) {
-    return holdersOf[expert][copy];
+  int holder(int expert, int replica) {
+    return holdersByExpert[expert][replica];
   }
 
-  boolean hasFreePlace(int rank) {
-    return held[rank] < places;
+  boolean hasFreeSlot(int rank) {
+    return heldCount[rank] < slots;
   }
 
   boolean holds(int rank, int expert) {
-    int[] row = expertsOf[rank];
-    for (int place = 0; place < held[rank]; place++) {
-      if (row[place] == expert) {
+    int[] row = expertsByRank[rank];
+    for (int slot = 0; slot < heldCount[rank]; slot++) {
+      if (row[slot] == expert) {
         return true;
       }
     }
     return false;
   }
 
-  /** Whether a rank would have to fetch an expert. */
+  /** Whether a rank would have to fetch an expert, as it did not hold it initially. */
   boolean needsFetch(int rank, int expert) {
-    for (int own : before[rank]) {
-      if (own == expert) {
+    for (int initial : initialExperts[rank]) {
+      if (initial == expert) {
         return false;
       }
     }
     return true;
   }
 
-  /** Returns how many experts that a rank holds have to be fetched by it. */
+  /** Returns the number of experts that a rank holds now and must fetch. */
   int fetched(int rank) {
     return fetched[rank];
   }
 
-  /** Returns the tokens of an expert that each of a number of copies gets. */
-  double share(int expert, int numberOfCopies) {
-    return demand[expert] / numberOfCopies;
+  /** Returns the tokens that each replica of an expert gets, given the number of replicas. */
+  double share(int expert, int replicas) {
+    return demand[expert] / replicas;
   }
 
   double slowness(int rank) {
     return slowness[rank];
   }
 
-  /** Returns how long a rank's part of the set takes. */
+  /** Returns the time of a rank's part of the layer set. */
   double time(int rank) {
     return time[rank];
   }
 
-  /** Puts the ranks in the order of their times; a change moves few of them. */
-  void sortRanks() {
-    for (int next = 1; next < order.length; next++) {
-      int rank = order[next];
-      int place = next;
-      while (place > 0 && time[order[place - 1]] > time[rank]) {
-        order[place] = order[place - 1];
-        place--;
+  /** Sorts the ranks by time, with an insertion sort because a change moves few of them. */
+  void sortRanksByTime() {
+    for (int next = 1; next < ranksByTime.length; next++) {
+      int rank = ranksByTime[next];
+      int position = next;
+      while (position > 0 && time[ranksByTime[position - 1]] > time[rank]) {
+        ranksByTime[position] = ranksByTime[position - 1];
+        position--;
       }
-      order[place] = rank;
+      ranksByTime[position] = rank;
     }
   }
 
-  /** Returns a rank by its place in the order of times as last sorted, the fastest at 0. */
-  int rankInOrder(int place) {
-    return order[place];
+  /** Returns the rank at a position in the order of the last sort, the fastest at 0. */
+  int rankByTime(int position) {
+    return ranksByTime[position];
   }
 
-  /** Returns the rank whose part takes longest; looked for once after each change. */
+  /** Returns the slowest rank, which is computed once after each change. */
   int slowestRank() {
-    if (slowest == NONE) {
-      slowest = 0;
+    if (cachedSlowestRank == NONE) {
+      cachedSlowestRank = 0;
       for (int rank = 1; rank < time.length; rank++) {
-        slowest = time[rank] > time[slowest] ? rank : slowest;
+        cachedSlowestRank = time[rank] > time[cachedSlowestRank] ? rank : cachedSlowestRank;
       }
     }
-    return slowest;
+    return cachedSlowestRank;
   }
 
-  void take(int rank, int expert) {
-    link(rank, expert);
+  void add(int rank, int expert) {
+    addHolding(rank, expert);
     fetched[rank] += needsFetch(rank, expert) ? 1 : 0;
     computeTimes(expert);
   }
 
-  void giveUp(int rank, int expert) {
-    remove(expertsOf[rank], held[rank], expert);
-    held[rank]--;
-    remove(holdersOf[expert], copies[expert], rank);
-    copies[expert]--;
+  void drop(int rank, int expert) {
+    remove(expertsByRank[rank], heldCount[rank], expert);
+    heldCount[rank]--;
+    remove(holdersByExpert[expert], replicaCount[expert], rank);
+    replicaCount[expert]--;
     fetched[rank] -= needsFetch(rank, expert) ? 1 : 0;
     computeTime(rank);
     computeTimes(expert);
   }
 
-  private void link(int rank, int expert) {
-    expertsOf[rank][held[rank]] = expert;
-    held[rank]++;
-    if (copies[expert] == holdersOf[expert].length) {
-      holdersOf[expert] = Arrays.copyOf(holdersOf[expert], 2 * copies[expert]);
+  private void addHolding(int rank, int expert) {
+    expertsByRank[rank][heldCount[rank]] = expert;
+    heldCount[rank]++;
+    if (replicaCount[expert] == holdersByExpert[expert].length) {
+      holdersByExpert[expert] = Arrays.copyOf(holdersByExpert[expert], 2 * replicaCount[expert]);
     }
-    holdersOf[expert][copies[expert]] = rank;
-    copies[expert]++;
+    holdersByExpert[expert][replicaCount[expert]] = rank;
+    replicaCount[expert]++;
   }
 
   private static void remove(int[] row, int length, int value) {
-    int place = 0;
-    while (row[place] != value) {
-      place++;
+    int position = 0;
+    while (row[position] != value) {
+      position++;
     }
-    row[place] = row[length - 1];
+    row[position] = row[length - 1];
   }
 
   private void computeTimes(int expert) {
-    for (int copy = 0; copy < copies[expert]; copy++) {
-      computeTime(holdersOf[expert][copy]);
+    for (int replica = 0; replica < replicaCount[expert]; replica++) {
+      computeTime(holdersByExpert[expert][replica]);
     }
   }
 
   private void computeTime(int rank) {
     double tokens = 0;
-    for (int place = 0; place < held[rank]; place++) {
-      int expert = expertsOf[rank][place];
-      tokens += share(expert, copies[expert]);
+    for (int slot = 0; slot < heldCount[rank]; slot++) {
+      int expert = expertsByRank[rank][slot];
+      tokens += share(expert, replicaCount[expert]);
     }
     time[rank] = tokens * slowness[rank];
-    slowest = NONE;
+    cachedSlowestRank = NONE;
   }
 
-  private static int mostHeld(int[][] experts) {
+  private static int maximumHeld(int[][] experts) {
     return Arrays.stream(experts).mapToInt(row -> row.length).max().orElse(0);
   }
 }
