--- a/core/src/main/java/dev/ibishub/core/ranks/ExpertDemand.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/ExpertDemand.java
@@ -7,29 +7,29 @@
 import java.util.Map;
 
 /**
- * How many tokens chose each expert lately, over all ranks, from counts that only grow. Not
- * thread-safe.
+ * Number of tokens routed to each expert in a recent time window, over all ranks, computed from
+ * cumulative counters. Not thread-safe.
  *
- * <p>The window is short, since demand shifts within a moment and a map made for the old demand is
- * as bad as none; it is still long enough for the tokens of some tens of requests.
+ * <p>The window is short because demand shifts quickly and a map made for old demand is as bad as
+ * none, yet long enough for the tokens of some tens of requests.
  */
 public final class ExpertDemand {
   private final int sets;
   private final int experts;
   private final long windowMillis;
-  private final Map<Integer, Deque<Sample>> byRank = new HashMap<>();
+  private final Map<Integer, Deque<Sample>> samplesByRank = new HashMap<>();
   private long epoch;
 
-  /** Counts of one rank at one moment. */
+  /** Counters of one rank at one time. */
   @SuppressWarnings("ArrayRecordComponent") // Never compared or hashed.
-  private record Sample(long at, long[] counts) {}
+  private record Sample(long atMillis, long[] counts) {}
 
   /**
-   * Creates a demand of which nothing is known.
+   * Creates a demand without any samples.
    *
-   * @param sets sets of layers
-   * @param experts experts in each set
-   * @param windowMillis how far back counts matter, milliseconds
+   * @param sets number of layer sets
+   * @param experts number of experts in each layer set
+   * @param windowMillis length of the window, milliseconds
    */
   public ExpertDemand(int sets, int experts, long windowMillis) {
     this.sets = sets;
@@ -38,56 +38,58 @@
   }
 
   /**
-   * Takes the counts of one rank in.
+   * Records the counters of one rank. Counters of an unexpected length are ignored.
    *
    * @param rank the rank
-   * @param newEpoch the group's epoch; counts of different epochs are not compared
-   * @param counts by set and expert in one row
-   * @param now when they were read
+   * @param newEpoch the group's epoch; counters of different epochs are not compared
+   * @param counts cumulative token counters, ordered by layer set and expert
+   * @param now when the counters were read, milliseconds
    */
   public void onCounts(int rank, long newEpoch, long[] counts, long now) {
     if (newEpoch != epoch) {
       epoch = newEpoch;
-      byRank.clear();
+      samplesByRank.clear();
     }
     if (counts.length != sets * experts) {
       return;
     }
-    Deque<Sample> samples = byRank.computeIfAbsent(rank, any -> new ArrayDeque<>());
+    Deque<Sample> samples = samplesByRank.computeIfAbsent(rank, unused -> new ArrayDeque<>());
     if (!samples.isEmpty() && hasRestarted(samples.peekLast().counts(), counts)) {
       samples.clear();
     }
     samples.addLast(new Sample(now, counts.clone()));
-    // One sample from before the window stays: it is what the window's counts are measured against.
-    while (samples.size() > 2 && secondOf(samples).at() <= now - windowMillis) {
+    // Keeps one sample from before the window as the baseline for the counts in the window.
+    while (samples.size() > 2 && secondSample(samples).atMillis() <= now - windowMillis) {
       samples.removeFirst();
     }
   }
 
-  /** Returns how many ranks have told counts that span at least half of the window. */
+  /** Returns the number of ranks whose samples span at least half of the window. */
   public int ranksKnown() {
     return (int)
-        byRank.values().stream()
+        samplesByRank.values().stream()
             .filter(
-                samples -> samples.peekLast().at() - samples.peekFirst().at() >= windowMillis / 2)
+                samples ->
+                    samples.peekLast().atMillis() - samples.peekFirst().atMillis()
+                        >= windowMillis / 2)
             .count();
   }
 
-  /** Returns the tokens of the window by set and expert. */
+  /** Returns the tokens in the window, by layer set and expert. */
   public double[][] tokens() {
     double[][] tokens = new double[sets][experts];
-    byRank.values().forEach(samples -> add(samples, tokens));
+    samplesByRank.values().forEach(samples -> add(samples, tokens));
     return tokens;
   }
 
-  /** Returns the tokens of the window over all experts. */
+  /** Returns the tokens in the window over all experts. */
   public double total() {
     return Arrays.stream(tokens()).flatMapToDouble(Arrays::stream).sum();
   }
 
-  /** Forgets the window, so that the next one holds only what comes from now on. */
+  /** Discards the tokens counted so far, so that the window covers only what follows. */
   public void restart() {
-    byRank
+    samplesByRank
         .values()
         .forEach(
             samples -> {
@@ -105,18 +107,18 @@
     }
   }
 
-  private static boolean hasRestarted(long[] before, long[] after) {
-    for (int i = 0; i < before.length; i++) {
-      if (after[i] < before[i]) {
+  private static boolean hasRestarted(long[] earlierCounts, long[] laterCounts) {
+    for (int i = 0; i < earlierCounts.length; i++) {
+      if (laterCounts[i] < earlierCounts[i]) {
         return true;
       }
     }
     return false;
   }
 
-  private static Sample secondOf(Deque<Sample> samples) {
-    var each = samples.iterator();
-    each.next();
-    return each.next();
+  private static Sample secondSample(Deque<Sample> samples) {
+    var iterator = samples.iterator();
+    iterator.next();
+    return iterator.next();
   }
 }
