--- a/core/src/test/java/dev/ibishub/core/FakeGroup.java
+++ b/core/src/test/java/dev/ibishub/core/FakeGroup.java
@@ -8,15 +8,18 @@
 import java.util.List;
 import java.util.Map;
 
-/** Ranks in lock-step on engines that ignore fencing numbers, with the real gates before them. */
+/**
+ * Ranks in lock-step on engines that ignore fencing tokens, behind real rank gates. Throws an
+ * {@link AssertionError} when two ranks run one step with different maps.
+ */
 final class FakeGroup {
   static final long FIRST_MAP = 7;
   static final String NAME = "dictionary";
 
   final List<Rank> ranks = new ArrayList<>();
-  final Map<Long, Long> mapOfStep = new HashMap<>();
+  final Map<Long, Long> mapVersionByStep = new HashMap<>();
   Instant now = Instant.EPOCH;
-  private long starts;
+  private long engineStarts;
 
   FakeGroup(int size) {
     for (int number = 0; number < size; number++) {
@@ -31,12 +34,15 @@
     return GroupLeader.create(NAME, ranks.size(), epoch, GroupLeaderOptions.defaults());
   }
 
-  /** Delivers one command and its answer at once. */
+  /** Delivers one command and its reply at once. */
   void deliver(GroupLeader leader, Addressed addressed) {
     leader.onReply(ranks.get(addressed.rank()).handle(addressed.command()), now);
   }
 
-  /** Exchanges messages until the leader is in the phase, or a bounded number of rounds is over. */
+  /**
+   * Exchanges messages until the leader is in the phase, at most a fixed number of rounds; returns
+   * whether it got there.
+   */
   boolean runUntil(GroupLeader leader, GroupLeader.Phase phase) {
     for (int round = 0; round < 40 && leader.phase() != phase; round++) {
       leader.poll(now).forEach(addressed -> deliver(leader, addressed));
@@ -45,7 +51,7 @@
     return leader.phase() == phase;
   }
 
-  /** Lets every rank go as far as holds, maps and lock-step allow, a bounded number of steps. */
+  /** Lets every rank step as far as holds, maps and lock-step allow, up to a number of steps. */
   void runSteps(int steps) {
     for (int i = 0; i < steps; i++) {
       ranks.forEach(Rank::tryStep);
@@ -56,17 +62,17 @@
     return ranks.stream().mapToLong(rank -> rank.step).min().orElseThrow();
   }
 
-  /** One rank: engine and agent. */
+  /** One rank with its engine and agent. */
   final class Rank {
     private final int number;
-    long engineStart = ++starts;
+    long engineStart = ++engineStarts;
     RankGate gate;
-    private boolean agentForgot;
+    private boolean agentLostState;
     long step;
     long version;
-    long staged;
-    long hold;
-    long committed;
+    long stagedVersion;
+    long heldStep;
+    long committedVersion;
     long committedStep;
     byte[] map = new byte[0];
     byte[] stagedMap = new byte[0];
@@ -79,80 +85,97 @@
 
     void restartAgent() {
       gate = RankGate.create(NAME, number);
-      agentForgot = true;
-      endLostStep();
+      agentLostState = true;
+      discardUnsharedStep();
     }
 
     void restartEngine() {
-      engineStart = ++starts;
+      engineStart = ++engineStarts;
       version = 0;
-      staged = 0;
-      hold = 0;
-      committed = 0;
+      stagedVersion = 0;
+      heldStep = 0;
+      committedVersion = 0;
       committedStep = 0;
       map = new byte[0];
-      endLostStep();
+      discardUnsharedStep();
     }
 
-    // A step that only this rank had begun ends with all memory of it: all begin it anew.
-    private void endLostStep() {
-      long others = ranks.stream().filter(r -> r != this).mapToLong(r -> r.step).max().orElse(step);
-      if (agentForgot && version == 0 && step > others) {
-        mapOfStep.remove(step);
-        step = others;
+    // A step that only this rank had begun is lost with all state of it: all ranks begin it again.
+    private void discardUnsharedStep() {
+      long newestStepOfOthers =
+          ranks.stream()
+              .filter(other -> other != this)
+              .mapToLong(other -> other.step)
+              .max()
+              .orElse(step);
+      if (agentLostState && version == 0 && step > newestStepOfOthers) {
+        mapVersionByStep.remove(step);
+        step = newestStepOfOthers;
       }
     }
 
     RankStatus status() {
       return new RankStatus(
-          engineStart, step, version, staged, hold, committed, committedStep, map, List.of(), 5);
+          engineStart,
+          step,
+          version,
+          stagedVersion,
+          heldStep,
+          committedVersion,
+          committedStep,
+          map,
+          List.of(),
+          5);
     }
 
     GroupReply handle(GroupCommand command) {
       RankGate.Verdict verdict = gate.admit(command, status());
       if (verdict.order()) {
-        obey(command);
+        execute(command);
       }
       return gate.reply(command, verdict.code(), status());
     }
 
-    private void obey(GroupCommand command) {
+    private void execute(GroupCommand command) {
       switch (command.kind()) {
         case STAGE -> {
-          staged = command.mapVersion();
+          stagedVersion = command.mapVersion();
           stagedMap = command.map();
         }
-        case HOLD -> hold = command.step();
+        case HOLD -> heldStep = command.step();
         case COMMIT -> {
-          committed = staged;
+          committedVersion = stagedVersion;
           committedMap = stagedMap;
           committedStep = command.step();
-          hold = hold == command.step() ? 0 : hold;
+          heldStep = heldStep == command.step() ? 0 : heldStep;
         }
-        case RELEASE -> hold = 0;
+        case RELEASE -> heldStep = 0;
         default -> throw new IllegalStateException(command.kind().name());
       }
     }
 
-    /** Begins the next step if all ranks have done the last one and nothing holds it back. */
+    /**
+     * Begins the next step if all ranks have finished the last one and no hold prevents it; returns
+     * whether it did.
+     */
     boolean tryStep() {
       long next = step + 1;
       boolean othersDone = ranks.stream().allMatch(other -> other.step >= step);
-      boolean free = hold == 0 || next < hold;
-      if (committed != 0 && next >= committedStep) {
-        version = committed;
-        agentForgot = false;
+      boolean notHeld = heldStep == 0 || next < heldStep;
+      if (committedVersion != 0 && next >= committedStep) {
+        version = committedVersion;
+        agentLostState = false;
         map = committedMap;
-        committed = 0;
+        committedVersion = 0;
         committedStep = 0;
       }
-      if (!othersDone || !free || version == 0) {
+      if (!othersDone || !notHeld || version == 0) {
         return false;
       }
       step = next;
-      Long before = mapOfStep.putIfAbsent(next, version);
-      if (before != null && before != version) {
-        throw new AssertionError("step " + next + " with maps " + before + " and " + version);
+      Long otherVersion = mapVersionByStep.putIfAbsent(next, version);
+      if (otherVersion != null && otherVersion != version) {
+        throw new AssertionError("step " + next + " with maps " + otherVersion + " and " + version);
       }
       return true;
     }
--- a/core/src/test/java/dev/ibishub/core/GroupEpochTest.java
+++ b/core/src/test/java/dev/ibishub/core/GroupEpochTest.java
@@ -6,7 +6,7 @@
 
 class GroupEpochTest {
   @Test
-  void nextEpochIsHigherWhateverTheTagsAre() {
+  void nextEpochIsHigherRegardlessOfTags() {
     long first = GroupEpoch.next(0, -1);
     long second = GroupEpoch.next(first, 1);
 
@@ -14,7 +14,7 @@
   }
 
   @Test
-  void twoProcessesThatStartFromTheSameEpochGetDifferentOnes() {
+  void processesWithSameHighestEpochGetDifferentEpochs() {
     assertThat(GroupEpoch.next(7, 1)).isNotEqualTo(GroupEpoch.next(7, 2));
   }
 }
--- a/core/src/test/java/dev/ibishub/core/GroupHistoryTest.java
+++ b/core/src/test/java/dev/ibishub/core/GroupHistoryTest.java
@@ -12,8 +12,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random histories of the real leaders and rank gates: several leaders, paused and woken, over one
- * group; commands and replies late, lost, twice and out of order; agents that lose their memory.
+ * Random histories of one group under real leaders and rank gates: several leaders that are paused
+ * and resumed; commands and replies that are late, lost, duplicated or reordered; agents that lose
+ * their state.
  */
 class GroupHistoryTest {
   private static final int STEPS = 1_500;
@@ -21,19 +22,19 @@
   private static final int LEADERS = 4;
 
   @Property(seed = "20260103", tries = 300)
-  void noStepRunsOnTwoMapsAndTheGroupGoesOn(@ForAll @LongRange(min = 0) long seed) {
+  void neverRunsStepWithTwoMapsAndGroupProceeds(@ForAll @LongRange(min = 0) long seed) {
     World world = new World(new Random(seed));
 
     for (int step = 0; step < STEPS; step++) {
-      world.step(); // Fails by itself when two ranks run one step on two maps.
+      world.step(); // Throws when two ranks run one step with different maps.
     }
 
-    assertThat(world.goesOnUnderANewLeader()).as("seed %d", seed).isTrue();
+    assertThat(world.proceedsUnderNewLeader()).as("seed %d", seed).isTrue();
   }
 
   @Test
-  void historiesReachSwitchesUnderSeveralLeaders() {
-    // Were no map ever switched, the property above would hold of nothing.
+  void historiesIncludeSwitchesByLaterLeaders() {
+    // If no map were ever switched, the property above would be vacuous.
     int switches = 0;
     for (int seed = 0; seed < 100; seed++) {
       World world = new World(new Random(seed));
@@ -59,22 +60,23 @@
 
     void step() {
       switch (random.nextInt(20)) {
-        case 0 -> elect();
+        case 0 -> addLeaderOccasionally();
         case 1 -> anyLeader().offer(new byte[] {(byte) random.nextInt(100)});
-        case 2, 3, 4 -> poll(mostlyTheNewestLeader());
+        case 2, 3, 4 -> poll(usuallyNewestLeader());
         case 5 -> deliver(false);
-        case 6 -> loseNowAndThen();
+        case 6 -> dropMessageOccasionally();
         case 7, 8 -> group.now = group.now.plusMillis(random.nextInt(100));
         case 9, 10 -> group.runSteps(1);
-        case 11 -> restartAgentNowAndThen();
+        case 11 -> restartAgentOccasionally();
         default -> deliver(true);
       }
     }
 
     /**
-     * A commit whose step is still to come may have to come into use before the leader is ready.
+     * Whether a new leader becomes ready and the group runs further steps. Ranks step in between
+     * because a pending commit may have to take effect first.
      */
-    boolean goesOnUnderANewLeader() {
+    boolean proceedsUnderNewLeader() {
       GroupLeader last = group.leader(LEADERS + 1L);
       boolean ready = false;
       for (int round = 0; round < 20 && !ready; round++) {
@@ -86,13 +88,13 @@
       return ready && group.lowestStep() > before;
     }
 
-    private void elect() {
+    private void addLeaderOccasionally() {
       if (leaders.size() < LEADERS && random.nextInt(10) == 0) {
         leaders.add(group.leader(leaders.size() + 1L));
       }
     }
 
-    private void restartAgentNowAndThen() {
+    private void restartAgentOccasionally() {
       if (random.nextInt(20) == 0) {
         group.ranks.get(random.nextInt(RANKS)).restartAgent();
       }
@@ -102,30 +104,30 @@
       return leaders.get(random.nextInt(leaders.size()));
     }
 
-    private GroupLeader mostlyTheNewestLeader() {
+    private GroupLeader usuallyNewestLeader() {
       return random.nextInt(5) == 0 ? anyLeader() : leaders.get(leaders.size() - 1);
     }
 
     private void poll(GroupLeader leader) {
       for (GroupLeader.Addressed addressed : leader.poll(group.now)) {
-        network.add(() -> obey(leader, addressed));
+        network.add(() -> deliverCommand(leader, addressed));
       }
     }
 
-    private void obey(GroupLeader leader, GroupLeader.Addressed addressed) {
+    private void deliverCommand(GroupLeader leader, GroupLeader.Addressed addressed) {
       GroupReply reply = group.ranks.get(addressed.rank()).handle(addressed.command());
       network.add(() -> leader.onReply(reply, group.now));
     }
 
-    private void deliver(boolean once) {
+    private void deliver(boolean removeAfterDelivery) {
       if (!network.isEmpty()) {
         int index = random.nextInt(network.size());
-        Runnable message = once ? network.remove(index) : network.get(index);
+        Runnable message = removeAfterDelivery ? network.remove(index) : network.get(index);
         message.run();
       }
     }
 
-    private void loseNowAndThen() {
+    private void dropMessageOccasionally() {
       if (!network.isEmpty() && random.nextInt(4) == 0) {
         network.remove(random.nextInt(network.size()));
       }
--- a/core/src/test/java/dev/ibishub/core/GroupSwitchRandomizedTest.java
+++ b/core/src/test/java/dev/ibishub/core/GroupSwitchRandomizedTest.java
@@ -12,33 +12,34 @@
 import net.jqwik.api.ShrinkingMode;
 
 /**
- * Random histories of a group under two leaders at a time. The seed is fixed; jqwik prints it with
- * the scenario of a failure.
+ * Random histories of a group under up to two concurrent leaders. The seed is fixed; jqwik prints
+ * it together with the scenario of a failure.
  */
 class GroupSwitchRandomizedTest {
   private static final int ACTIONS = 400;
   private static final int RANKS = 3;
 
-  // Leaders are killed, replaced and paused, agents restart, one rank's engine or whole VM starts
-  // anew, and messages come late, twice, out of order or never, while the ranks step on. Users
-  // would see answers that are noise (a step with two maps) or a group that stops for good.
+  // Guards against a step that runs with two maps, which returns garbage, and a group that stops
+  // forever. Leaders are killed, replaced and paused, agents restart, one rank's engine or whole VM
+  // restarts, and messages are late, duplicated, reordered or lost while the ranks step on.
   @Property(seed = "20261202", tries = 1500, shrinking = ShrinkingMode.OFF)
-  void noHistoryMixesMapsOrStopsTheGroup(@ForAll long scenario) {
+  void neverMixesMapsOrStopsGroup(@ForAll long scenario) {
     History history = new History(scenario);
     for (int i = 0; i < ACTIONS; i++) {
-      history.act();
+      history.performRandomAction();
     }
-    history.settle();
+    history.runWithoutFaults();
 
     FakeGroup group = history.group;
     assertThat(group.ranks).extracting(rank -> rank.version).containsOnly(history.last.version());
-    assertThat(group.lowestStep()).isGreaterThanOrEqualTo(history.stepBeforeTheEnd + 20);
+    assertThat(group.lowestStep()).isGreaterThanOrEqualTo(history.stepBeforeRecovery + 20);
   }
 
-  /** One message to a rank or back, on the connection to one life of the rank's agent. */
-  private record Message(GroupLeader leader, int rank, int life, GroupCommand down, GroupReply up) {
-    Message answeredBy(GroupReply reply) {
-      return new Message(leader, rank, life, null, reply);
+  /** Message to or from a rank, on the connection to one incarnation of the rank's agent. */
+  private record Message(
+      GroupLeader leader, int rank, int agentIncarnation, GroupCommand command, GroupReply reply) {
+    Message answeredBy(GroupReply answer) {
+      return new Message(leader, rank, agentIncarnation, null, answer);
     }
   }
 
@@ -47,17 +48,17 @@
     private final FakeGroup group = new FakeGroup(RANKS);
     private final List<GroupLeader> leaders = new ArrayList<>();
     private final List<Message> network = new ArrayList<>();
-    private final int[] lives = new int[RANKS];
+    private final int[] agentIncarnations = new int[RANKS];
     private long epoch;
     private GroupLeader last;
-    private long stepBeforeTheEnd;
+    private long stepBeforeRecovery;
 
     History(long scenario) {
       this.random = new Random(scenario);
       newLeader();
     }
 
-    void act() {
+    void performRandomAction() {
       group.now = group.now.plus(Duration.ofMillis(random.nextInt(40)));
       int choice = random.nextInt(100);
       if (choice < 50) {
@@ -80,10 +81,10 @@
       }
     }
 
-    /** The faults end: one last leader, and messages that arrive. */
-    void settle() {
+    /** Runs without faults: one last leader, and every message arrives. */
+    void runWithoutFaults() {
       newLeader();
-      stepBeforeTheEnd = group.lowestStep();
+      stepBeforeRecovery = group.lowestStep();
       for (int round = 0; round < 200; round++) {
         last.poll(group.now).forEach(addressed -> group.deliver(last, addressed));
         group.now = group.now.plus(Duration.ofMillis(50));
@@ -104,9 +105,9 @@
     }
 
     private void restartAgent(int rank) {
-      lives[rank]++;
+      agentIncarnations[rank]++;
       group.ranks.get(rank).restartAgent();
-      network.removeIf(message -> message.rank() == rank && message.down() != null);
+      network.removeIf(message -> message.rank() == rank && message.command() != null);
     }
 
     private void poll(GroupLeader leader) {
@@ -118,7 +119,7 @@
                       new Message(
                           leader,
                           addressed.rank(),
-                          lives[addressed.rank()],
+                          agentIncarnations[addressed.rank()],
                           addressed.command(),
                           null)));
     }
@@ -135,10 +136,10 @@
       if (random.nextInt(100) < 10) {
         return;
       }
-      if (message.up() != null) {
-        message.leader().onReply(message.up(), group.now);
+      if (message.reply() != null) {
+        message.leader().onReply(message.reply(), group.now);
       } else {
-        GroupReply reply = group.ranks.get(message.rank()).handle(message.down());
+        GroupReply reply = group.ranks.get(message.rank()).handle(message.command());
         network.add(message.answeredBy(reply));
       }
     }
--- a/core/src/test/java/dev/ibishub/core/GroupSwitchTest.java
+++ b/core/src/test/java/dev/ibishub/core/GroupSwitchTest.java
@@ -16,7 +16,7 @@
   private final FakeGroup group = new FakeGroup(3);
 
   @Test
-  void switchTakesHoldAtOneStepOnAllRanksWithoutAStall() {
+  void allRanksSwitchAtOneStepWithoutStalling() {
     GroupLeader leader = readyLeader(1);
     group.runSteps(5);
     long version = leader.offer(NEW_MAP).orElseThrow();
@@ -29,15 +29,15 @@
 
     assertThat(group.ranks).allMatch(rank -> rank.version == version && rank.map[0] == 9);
     assertThat(group.lowestStep()).isEqualTo(55);
-    assertThat(group.mapOfStep.values()).contains(FakeGroup.FIRST_MAP, version);
+    assertThat(group.mapVersionByStep.values()).contains(FakeGroup.FIRST_MAP, version);
   }
 
-  // A leader is killed after any number of its commands were delivered: some ranks have promised,
-  // staged, held or committed and others have not. Users would see the group stop for good, or a
-  // step run with two maps and answers that are noise. The cause is a successor that guesses.
+  // Guards against a successor that guesses what was decided: a leader is killed after any number
+  // of its commands were delivered, so that only some ranks have promised, staged, held or
+  // committed. The group would stop forever, or run a step with two maps and return garbage.
   @ParameterizedTest
   @ValueSource(ints = {1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21})
-  void successorOfALeaderKilledBetweenAnyTwoMessagesBringsAllToOneMap(int delivered) {
+  void successorMovesAllRanksToOneMapAfterLeaderDiesBetweenMessages(int delivered) {
     GroupLeader first = readyLeader(1);
     first.offer(NEW_MAP);
     deliverOnly(first, delivered);
@@ -50,11 +50,11 @@
     assertThat(group.lowestStep()).isGreaterThanOrEqualTo(30);
   }
 
-  // One rank gets the commit and begins the step; the leader dies before the others get it. If that
-  // rank had forgotten the commit on applying it, the next leader would release the others, and
-  // they would run the step on the old map.
+  // Guards against forgetting a commit once it is applied: one rank applies the commit and begins
+  // the step, and the leader dies before the others receive it. The next leader would release the
+  // others, which would run the step with the old map.
   @Test
-  void commitThatOneRankAppliedIsFinishedOnTheOthers() {
+  void successorCompletesCommitAppliedByOneRank() {
     GroupLeader first = holdingLeader();
     Addressed commit = first.poll(group.now).get(0);
     assertThat(commit.command().kind()).isEqualTo(GroupCommand.Kind.COMMIT);
@@ -69,10 +69,10 @@
     assertThat(group.lowestStep()).isGreaterThan(commit.command().step());
   }
 
-  // The same, and the agent of the rank that applied the commit restarts too: only its engine
-  // knows.
+  // As above, and the agent of the rank that applied the commit restarts too, so that only its
+  // engine knows of the commit.
   @Test
-  void commitSurvivesARestartOfTheOnlyAgentThatKnewIt() {
+  void commitSurvivesRestartOfOnlyAgentThatKnewIt() {
     GroupLeader first = holdingLeader();
     Addressed commit = first.poll(group.now).get(0);
     group.deliver(first, commit);
@@ -85,10 +85,11 @@
     assertThat(group.ranks).allMatch(rank -> rank.version == commit.command().mapVersion());
   }
 
-  // The only rank that has the commit begins the step and then its engine dies: no engine shows the
-  // new map any longer. Were the commit forgotten, the others would redo that step on the old map.
+  // Guards against forgetting a commit when the engine dies: the only rank that has the commit
+  // begins the step, its engine restarts, and no engine reports the new map any longer. The others
+  // would run that step with the old map.
   @Test
-  void commitSurvivesTheDeathOfTheOnlyEngineThatAppliedIt() {
+  void commitSurvivesRestartOfOnlyEngineThatAppliedIt() {
     GroupLeader first = holdingLeader();
     Addressed commit = first.poll(group.now).get(0);
     group.deliver(first, commit);
@@ -100,40 +101,41 @@
     assertThat(group.ranks).allMatch(rank -> rank.version == commit.command().mapVersion());
   }
 
-  // A leader is paused with all holds in hand, its successor releases them, and it wakes and sends
-  // its commits. Were they obeyed, ranks would switch at a step that others have passed.
+  // Guards against commits of a superseded leader: it is paused when it has all holds, its
+  // successor releases them, and it resumes and sends its commits. Ranks would switch at a step
+  // that others have passed.
   @Test
-  void commitOfAPausedLeaderIsRefusedAfterItsSuccessorReleased() {
+  void refusesCommitOfPausedLeaderAfterSuccessorReleased() {
     GroupLeader first = holdingLeader();
-    List<Addressed> late = first.poll(group.now);
+    List<Addressed> lateCommits = first.poll(group.now);
     readyLeader(2);
 
-    late.forEach(addressed -> group.deliver(first, addressed));
+    lateCommits.forEach(addressed -> group.deliver(first, addressed));
     group.runSteps(40);
 
     assertThat(first.phase()).isEqualTo(Phase.DEPOSED);
     assertThat(group.ranks).extracting(rank -> rank.version).containsOnly(FakeGroup.FIRST_MAP);
   }
 
-  // A leader has all holds and is paused; a rank's agent restarts and remembers no promise; the
-  // next leader releases. The late commit would find a rank that refuses nothing.
+  // Guards against a late commit at a rank that lost its promises: a leader is paused when it has
+  // all holds, a rank's agent restarts, and the next leader releases the holds.
   @Test
-  void rankThatLostItsMemoryObeysNoCommandOfTheOldIncarnation() {
+  void rankWithoutStateRefusesCommandsOfOldIncarnation() {
     GroupLeader first = holdingLeader();
-    List<Addressed> late = first.poll(group.now);
+    List<Addressed> lateCommits = first.poll(group.now);
     group.ranks.get(0).restartAgent();
 
-    assertThat(group.ranks.get(0).handle(late.get(0).command()).code())
+    assertThat(group.ranks.get(0).handle(lateCommits.get(0).command()).code())
         .isEqualTo(ResultCode.UNKNOWN_INCARNATION);
     readyLeader(2);
-    assertThat(group.ranks.get(0).handle(late.get(0).command()).code())
+    assertThat(group.ranks.get(0).handle(lateCommits.get(0).command()).code())
         .isEqualTo(ResultCode.STALE_EPOCH);
   }
 
-  // Messages are slow, the ranks have begun the step by the time the hold arrives. The switch must
-  // be given up, not forced, and the next hold must be placed further ahead.
+  // Messages are so slow that the ranks have begun the step when the hold arrives. The switch must
+  // be abandoned, and the next hold must be placed further ahead.
   @Test
-  void lateHoldGivesTheSwitchUpAndTheNextHoldComesEarlier() {
+  void lateHoldAbandonsSwitchAndIncreasesLeadOfNextHold() {
     GroupLeader leader = readyLeader(1);
     leader.offer(NEW_MAP);
     assertThat(group.runUntil(leader, Phase.HOLDING)).isTrue();
@@ -149,10 +151,10 @@
         .isGreaterThan(firstLead);
   }
 
-  // One rank stalls while all hold: the others would wait for ever. The holds are given back, and
-  // the copy of the hold that reaches the stalled rank later holds nothing.
+  // Guards against a group that waits forever: one rank stalls while the others hold. The holds are
+  // released, and the copy of the hold that reaches the stalled rank later must have no effect.
   @Test
-  void holdThatArrivesAfterItsReleaseHoldsNothing() {
+  void ignoresHoldThatArrivesAfterRelease() {
     GroupLeader leader = readyLeader(1);
     leader.offer(NEW_MAP);
     group.runUntil(leader, Phase.HOLDING);
@@ -167,10 +169,11 @@
     assertThat(group.lowestStep()).isEqualTo(300);
   }
 
-  // An engine dies while a commit for a later step is known to one rank only. Back with an empty
-  // memory it must run the steps before on the old map, like the others, and switch with them.
+  // Guards against mixed maps before a pending commit: an engine restarts while only one rank knows
+  // of a commit for a later step. It must run the steps before it with the old map, like the
+  // others, and switch together with them.
   @Test
-  void engineThatStartedAnewJoinsWithoutMixingTheStepsBeforeAPendingCommit() {
+  void restartedEngineUsesOldMapUntilPendingCommit() {
     GroupLeader first = holdingLeader();
     List<Addressed> commits = first.poll(group.now);
     group.deliver(first, commits.get(0));
@@ -199,7 +202,7 @@
     assertThat(leader.phase()).isEqualTo(Phase.READY);
   }
 
-  /** A leader that has every rank's hold and has sent no commit. */
+  /** Returns a leader that has the hold of every rank and has sent no commit. */
   private GroupLeader holdingLeader() {
     GroupLeader leader = readyLeader(1);
     leader.offer(NEW_MAP);
@@ -210,12 +213,12 @@
   }
 
   private void deliverOnly(GroupLeader leader, int commands) {
-    int left = commands;
-    while (left > 0) {
+    int remaining = commands;
+    while (remaining > 0) {
       for (Addressed addressed : leader.poll(group.now)) {
-        if (left > 0) {
+        if (remaining > 0) {
           group.deliver(leader, addressed);
-          left--;
+          remaining--;
         }
       }
       group.now = group.now.plus(Duration.ofMillis(300));
--- a/core/src/test/java/dev/ibishub/core/RankGateTest.java
+++ b/core/src/test/java/dev/ibishub/core/RankGateTest.java
@@ -10,10 +10,10 @@
   private final RankGate gate = RankGate.create("dictionary", 0);
   private long sequence;
 
-  // An engine dies and is back with the map it starts with before its agent has noticed. The leader
-  // still counts on the hold that it had, and would commit while this rank runs on.
+  // Guards against a commit without a hold: an engine restarts with its initial map before its
+  // agent notices. The leader still relies on the hold and would commit while this rank runs on.
   @Test
-  void rankWhoseEngineStartedAnewIsNoMemberUntilItJoinsAnew() {
+  void rankWithRestartedEngineIsNoMemberUntilItJoinsAgain() {
     send(Kind.PREPARE, 0, engine(1));
     send(Kind.JOIN, 1, engine(1));
     assertThat(send(Kind.HOLD, 1, engine(1))).isEqualTo(ResultCode.OK);
@@ -23,10 +23,10 @@
     assertThat(send(Kind.JOIN, 2, engine(2))).isEqualTo(ResultCode.OK);
   }
 
-  // The commit's order to the engine is lost on the way. A new leader that heard of no commit would
-  // release ranks to which the same commit has come.
+  // Guards against a lost commit: the answer of the engine is missing, and a new leader that hears
+  // of no commit would release ranks that have received it.
   @Test
-  void commitIsReportedFromBeforeTheEngineHasItUntilForget() {
+  void reportsCommitBeforeEngineHasItAndUntilForget() {
     send(Kind.PREPARE, 0, engine(1));
     send(Kind.JOIN, 1, engine(1));
     GroupCommand commit = command(Kind.COMMIT, 1);
@@ -41,9 +41,9 @@
         .isZero();
   }
 
-  // A commit without its hold: the rank may have begun the step by the time the order arrives.
+  // Guards against a commit without its hold: the rank may have begun the step when it arrives.
   @Test
-  void commitForAStepThatIsNotHeldIsRefused() {
+  void refusesCommitForStepThatIsNotHeld() {
     send(Kind.PREPARE, 0, engine(1));
     send(Kind.JOIN, 1, engine(1));
     GroupCommand commit =
@@ -61,7 +61,7 @@
     return new GroupCommand("dictionary", incarnation, 1, sequence, kind, 77, 9, new byte[0]);
   }
 
-  /** Staged map 77, and step 9 held. */
+  /** Returns the status of an engine at step 3 that has staged map 77 and holds step 9. */
   private static RankStatus engine(long start) {
     return new RankStatus(start, 3, 1, 77, 9, 0, 0, new byte[0], List.of(), 5);
   }
