--- a/core/src/test/java/dev/ibishub/core/ranks/SimulatedGroup.java
+++ b/core/src/test/java/dev/ibishub/core/ranks/SimulatedGroup.java
@@ -11,45 +11,46 @@
 import java.util.stream.IntStream;
 
 /**
- * A group of ranks that step together and take commands as the engines do: commands may stay
- * unanswered, and are then carried out seconds later or never. Time is moved by hand.
+ * Simulated group of ranks that run in lock-step and execute commands as engines do: a command may
+ * stay unanswered, and is then executed at once, seconds later or never. Time advances only by
+ * {@link #advance}. {@code dev.ibishub.core.FakeGroup} is the counterpart for {@code GroupLeader}.
  */
 final class SimulatedGroup {
-  private static final long PASS_MILLIS = 60;
-  private static final int LATEST_MILLIS = 12_000;
+  private static final long STEP_MILLIS = 60;
+  private static final int MAXIMUM_DELAY_MILLIS = 12_000;
 
   private final Random random;
-  private final double unanswered;
+  private final double unansweredProbability;
   private final Engine[] engines;
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private final List<String> breaches = new ArrayList<>();
+  private final List<String> violations = new ArrayList<>();
   private long now;
   private long step;
-  private long nextPassAt = PASS_MILLIS;
+  private long nextStepAt = STEP_MILLIS;
   private long heldMillis;
   private long epoch;
 
   private static final class Engine {
     private long map;
-    private long prepared;
-    private long highest;
-    private long armed;
+    private long preparedVersion;
+    private long highestVersion;
+    private long armedVersion;
     private long armedStep;
-    private long held = -1;
-    private long fence;
+    private long heldStep = -1;
+    private long highestToken;
   }
 
-  private record Event(long at, long number, Runnable action) implements Comparable<Event> {
+  private record Event(long at, long sequence, Runnable action) implements Comparable<Event> {
     @Override
     public int compareTo(Event other) {
-      return at != other.at ? Long.compare(at, other.at) : Long.compare(number, other.number);
+      return at != other.at ? Long.compare(at, other.at) : Long.compare(sequence, other.sequence);
     }
   }
 
-  private long eventNumber;
+  private long nextEventSequence;
 
-  SimulatedGroup(int ranks, double unanswered, Random random) {
-    this.unanswered = unanswered;
+  SimulatedGroup(int ranks, double unansweredProbability, Random random) {
+    this.unansweredProbability = unansweredProbability;
     this.random = random;
     this.engines = IntStream.range(0, ranks).mapToObj(rank -> new Engine()).toArray(Engine[]::new);
   }
@@ -66,34 +67,34 @@
     return heldMillis;
   }
 
-  List<String> breaches() {
-    return breaches;
+  List<String> violations() {
+    return violations;
   }
 
   boolean isAnyHeld() {
-    return Arrays.stream(engines).anyMatch(engine -> engine.held >= 0);
+    return Arrays.stream(engines).anyMatch(engine -> engine.heldStep >= 0);
   }
 
   long mapOf(int rank) {
     return engines[rank].map;
   }
 
-  /** Moves time by a millisecond. */
+  /** Advances the time by 1 ms. */
   void advance() {
     now++;
     while (!events.isEmpty() && events.peek().at() <= now) {
       events.poll().action().run();
     }
-    if (now >= nextPassAt) {
-      tryPass();
+    if (now >= nextStepAt) {
+      tryStep();
     }
   }
 
-  void later(long millis, Runnable action) {
-    events.add(new Event(now + millis, eventNumber++, action));
+  void schedule(long millis, Runnable action) {
+    events.add(new Event(now + millis, nextEventSequence++, action));
   }
 
-  /** Crashes a rank: the group forms anew and nothing of before is left. */
+  /** Crashes a rank: the group forms again in a new epoch, and all earlier state is lost. */
   void crash() {
     epoch++;
     Arrays.setAll(engines, rank -> new Engine());
@@ -106,61 +107,62 @@
         true,
         step,
         engine.map,
-        engine.prepared,
-        engine.armed,
+        engine.preparedVersion,
+        engine.armedVersion,
         engine.armedStep,
-        engine.held < 0 ? OptionalLong.empty() : OptionalLong.of(engine.held),
+        engine.heldStep < 0 ? OptionalLong.empty() : OptionalLong.of(engine.heldStep),
         now);
   }
 
-  /** Sends a command; {@code onResult} hears of it after a while, perhaps that nothing is known. */
+  /** Sends a command. {@code onResult} is called after a delay, possibly with an unknown result. */
   void send(RankCommand command, BiConsumer<RankCommand, Result> onResult) {
-    long way = 1L + random.nextInt(6);
-    if (random.nextDouble() >= unanswered) {
-      later(
-          way,
+    long networkDelayMillis = 1L + random.nextInt(6);
+    if (random.nextDouble() >= unansweredProbability) {
+      schedule(
+          networkDelayMillis,
           () -> {
-            Result result = carryOut(command);
-            later(way, () -> onResult.accept(command, result));
+            Result result = execute(command);
+            schedule(networkDelayMillis, () -> onResult.accept(command, result));
           });
       return;
     }
-    later(130, () -> onResult.accept(command, Result.UNKNOWN));
-    int fate = random.nextInt(4);
-    if (fate > 0) {
-      long delay = fate == 1 ? way : 2_000L + random.nextInt(LATEST_MILLIS - 2_000);
-      later(delay, () -> carryOut(command));
+    schedule(130, () -> onResult.accept(command, Result.UNKNOWN));
+    int outcome = random.nextInt(4);
+    if (outcome > 0) {
+      long delay =
+          outcome == 1 ? networkDelayMillis : 2_000L + random.nextInt(MAXIMUM_DELAY_MILLIS - 2_000);
+      schedule(delay, () -> execute(command));
     }
   }
 
-  private void tryPass() {
-    if (Arrays.stream(engines).anyMatch(engine -> engine.held == step + 1)) {
+  private void tryStep() {
+    if (Arrays.stream(engines).anyMatch(engine -> engine.heldStep == step + 1)) {
       heldMillis++;
       return;
     }
     step++;
-    nextPassAt = now + PASS_MILLIS;
+    nextStepAt = now + STEP_MILLIS;
     for (Engine engine : engines) {
-      if (engine.armed > 0 && engine.armedStep == step) {
-        engine.map = engine.armed;
-        engine.armed = 0;
+      if (engine.armedVersion > 0 && engine.armedStep == step) {
+        engine.map = engine.armedVersion;
+        engine.armedVersion = 0;
       }
     }
     long maps = Arrays.stream(engines).mapToLong(engine -> engine.map).distinct().count();
     if (maps > 1) {
-      breaches.add("step " + step + " began with " + maps + " maps at " + now);
+      violations.add("step " + step + " began with " + maps + " maps at " + now);
     }
   }
 
-  private Result carryOut(RankCommand command) {
+  private Result execute(RankCommand command) {
     Engine engine = engines[command.rank()];
     if (command.epoch() != epoch) {
       return Result.CONFLICT;
     }
-    if (command.token() < engine.fence) {
+    if (command.token() < engine.highestToken) {
       return Result.FENCED;
     }
-    engine.fence = command.token();
+    engine.highestToken = command.token();
     return switch (command.kind()) {
       case PREPARE -> prepare(engine, command);
       case ARM -> arm(engine, command);
@@ -171,30 +173,30 @@
   }
 
   private Result prepare(Engine engine, RankCommand command) {
-    if (command.version() <= engine.highest || engine.armed > 0) {
+    if (command.version() <= engine.highestVersion || engine.armedVersion > 0) {
       return Result.CONFLICT;
     }
-    engine.highest = command.version();
-    engine.prepared = 0;
-    long inEpoch = epoch;
-    later(
+    engine.highestVersion = command.version();
+    engine.preparedVersion = 0;
+    long epochAtStart = epoch;
+    schedule(
         50 + random.nextInt(250),
         () -> {
-          if (engine.highest == command.version() && inEpoch == epoch) {
-            engine.prepared = command.version();
+          if (engine.highestVersion == command.version() && epochAtStart == epoch) {
+            engine.preparedVersion = command.version();
           }
         });
     return Result.DONE;
   }
 
   private Result arm(Engine engine, RankCommand command) {
-    if (engine.armed == command.version() && engine.armedStep == command.step()) {
+    if (engine.armedVersion == command.version() && engine.armedStep == command.step()) {
       return Result.DONE;
     }
-    if (engine.prepared != command.version() || command.step() <= step) {
+    if (engine.preparedVersion != command.version() || command.step() <= step) {
       return Result.CONFLICT;
     }
-    engine.armed = command.version();
+    engine.armedVersion = command.version();
     engine.armedStep = command.step();
     return Result.DONE;
   }
@@ -203,28 +205,28 @@
     if (engine.map == command.version()) {
       return Result.CONFLICT;
     }
-    if (engine.armed == command.version()) {
-      engine.armed = 0;
+    if (engine.armedVersion == command.version()) {
+      engine.armedVersion = 0;
     }
     return Result.DONE;
   }
 
   private Result hold(Engine engine, RankCommand command) {
-    if (engine.held == command.step()) {
+    if (engine.heldStep == command.step()) {
       return Result.DONE;
     }
-    if (command.step() <= step || engine.held >= 0) {
+    if (command.step() <= step || engine.heldStep >= 0) {
       return Result.CONFLICT;
     }
-    engine.held = command.step();
+    engine.heldStep = command.step();
     return Result.DONE;
   }
 
   private Result release(Engine engine, RankCommand command) {
-    if (engine.held != command.step()) {
+    if (engine.heldStep != command.step()) {
       return Result.CONFLICT;
     }
-    engine.held = -1;
+    engine.heldStep = -1;
     return Result.DONE;
   }
 }
