--- a/core/src/test/java/dev/ibishub/core/ExpertPlannerTest.java
+++ b/core/src/test/java/dev/ibishub/core/ExpertPlannerTest.java
@@ -18,14 +18,14 @@
   private final double[] slowness = {1, 1, 1, 1};
 
   @Test
-  void evenLoadIsLeftAlone() {
+  void plansNothingForEvenLoad() {
     ExpertMap even = ExpertMap.inTurn(2, RANKS, 2, EXPERTS);
 
     assertThat(planner.plan(even, popularity(1), slowness, Instant.MIN, NOW)).isEmpty();
   }
 
   @Test
-  void hotExpertIsReplicatedAndEveryExpertStaysHeld() {
+  void replicatesHotExpertAndKeepsAllExperts() {
     ExpertPlanner.Plan plan =
         planner.plan(map, popularity(20), slowness, Instant.MIN, NOW).orElseThrow();
 
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void slowRankIsRelieved() {
+  void relievesSlowRank() {
     double[] oneSlow = {3, 1, 1, 1};
 
     ExpertPlanner.Plan plan =
@@ -45,14 +45,14 @@
     assertThat(plan.skewAfter()).isLessThan(plan.skewBefore());
   }
 
-  // A survey's coding is due within the hour; a rebalance now would fetch weights and delay it.
+  // Guards against a rebalance that fetches weights and delays a batch that is due soon.
   @Test
-  void nothingMovesWhileADeadlineIsNear() {
+  void plansNothingWhileDeadlineIsNear() {
     assertThat(planner.plan(map, popularity(20), slowness, NOW.plusSeconds(1), NOW)).isEmpty();
   }
 
   @Test
-  void bytesOfAMapReadBackAsTheSameMap() {
+  void mapSurvivesSerializationRoundTrip() {
     byte[] bytes = map.toBytes();
 
     assertThat(ExpertMap.fromBytes(2, RANKS, 3, bytes).toBytes()).isEqualTo(bytes);
--- a/core/src/test/java/dev/ibishub/core/ranks/ExpertDemandTest.java
+++ b/core/src/test/java/dev/ibishub/core/ranks/ExpertDemandTest.java
@@ -8,7 +8,7 @@
   private final ExpertDemand demand = new ExpertDemand(1, 2, 400);
 
   @Test
-  void onlyTheWindowCounts() {
+  void countsOnlyTokensInWindow() {
     demand.onCounts(0, 1, new long[] {0, 0}, 0);
     demand.onCounts(0, 1, new long[] {1_000, 0}, 100);
     demand.onCounts(0, 1, new long[] {1_000, 5}, 600);
@@ -17,10 +17,11 @@
     assertThat(demand.tokens()[0]).containsExactly(0, 4);
   }
 
-  // The planner moves experts for a demand that there never was. A rank started again and its
-  // counts began at zero; the difference to the old ones was taken for tokens.
+  // Guards against phantom demand: the counters of a restarted rank begin at zero, and their
+  // difference to the old values would be counted as tokens, so that the planner moves experts for
+  // no reason.
   @Test
-  void restartOfARankIsNoDemand() {
+  void ignoresCounterResetOfRestartedRank() {
     demand.onCounts(0, 1, new long[] {500, 500}, 0);
     demand.onCounts(0, 1, new long[] {3, 0}, 100);
     demand.onCounts(0, 1, new long[] {5, 1}, 300);
@@ -29,7 +30,7 @@
   }
 
   @Test
-  void newEpochBeginsAnew() {
+  void discardsSamplesOnNewEpoch() {
     demand.onCounts(0, 1, new long[] {0, 0}, 0);
     demand.onCounts(0, 1, new long[] {10, 0}, 300);
     demand.onCounts(0, 2, new long[] {90, 0}, 400);
--- a/core/src/test/java/dev/ibishub/core/ranks/PlacementPlannerTest.java
+++ b/core/src/test/java/dev/ibishub/core/ranks/PlacementPlannerTest.java
@@ -17,7 +17,7 @@
   private static final double[] EVEN = IntStream.range(0, RANKS).mapToDouble(i -> 1).toArray();
   private static final PlacementLimits LIMITS = new PlacementLimits(5, 2, 2, 1.08);
 
-  /** Copies are short against a switch, so a map fetches all that its limits allow. */
+  /** Fetches are short compared with a switch, so a plan uses all fetches that its limits allow. */
   private static final MapEconomy ECONOMY =
       new MapEconomy(skew -> 40 + 60 * skew, 5, 100, 0.15, 5_000);
 
@@ -25,7 +25,7 @@
     return GroupMap.inTurn(RANKS, SETS, EXPERTS);
   }
 
-  /** A few experts get most tokens, as with a handful of subjects in demand. */
+  /** Returns a skewed demand in which a few experts get most tokens. */
   private static double[][] demand(long seed) {
     Random random = new Random(seed);
     return IntStream.range(0, SETS)
@@ -39,7 +39,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void plansKeepAllLimits(long seed) {
+  void planRespectsAllLimits(long seed) {
     GroupMap current = inTurn();
 
     PlacementPlanner.Plan plan =
@@ -56,7 +56,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void threeMapsBringTheGroupNearToEvenSteps(long seed) {
+  void threePlansNearlyBalanceGroup(long seed) {
     double[][] demand = demand(seed);
     GroupMap map = inTurn();
     for (int round = 0; round < 3; round++) {
@@ -70,45 +70,45 @@
     assertThat(map.skew(demand, EVEN)).as("seed %d", seed).isLessThan(1.2);
   }
 
-  // Streams stutter half a second longer than they need to. Ranks copied all experts of an even map
-  // before the first of them was in use, though one long copy for each would have halved the pass.
+  // Guards against waiting for all fetches of a balanced map before using any of them. With slow
+  // fetches, a map with a single fetch per rank already halves the step time half a second earlier.
   @Test
-  void longCopiesComeInShortMapsFirst() {
-    MapEconomy longCopies = new MapEconomy(skew -> 40 + 60 * skew, 400, 100, 0.15, 5_000);
+  void fetchesOneExpertPerRankWhenFetchesAreSlow() {
+    MapEconomy slowFetches = new MapEconomy(skew -> 40 + 60 * skew, 400, 100, 0.15, 5_000);
 
     PlacementPlanner.Plan plan =
-        PlacementPlanner.plan(inTurn(), demand(1), EVEN, LIMITS, longCopies).orElseThrow();
+        PlacementPlanner.plan(inTurn(), demand(1), EVEN, LIMITS, slowFetches).orElseThrow();
 
     for (int rank = 0; rank < RANKS; rank++) {
       assertThat(inTurn().fetches(plan.map(), rank)).isLessThanOrEqualTo(1);
     }
   }
 
-  // Every answer is late until the leader changes. One switch was held for eight seconds by a
-  // paused
-  // VM; the leader took that for what a switch lasts, so no map seemed to come in time any more.
+  // Guards against a planner that never plans again: a paused VM stalls one switch for 8 s, and if
+  // that counts as the usual time of a switch, every map seems too late until the leader changes.
   @Test
-  void switchThatWasHeldOnceDoesNotEndAllMaps() {
-    MapEconomy afterAHold = new MapEconomy(skew -> 40 + 60 * skew, 50, 8_000, 0.15, 5_000);
+  void stillPlansAfterOneLongSwitch() {
+    MapEconomy afterLongSwitch = new MapEconomy(skew -> 40 + 60 * skew, 50, 8_000, 0.15, 5_000);
 
-    assertThat(PlacementPlanner.plan(inTurn(), demand(1), EVEN, LIMITS, afterAHold)).isPresent();
+    assertThat(PlacementPlanner.plan(inTurn(), demand(1), EVEN, LIMITS, afterLongSwitch))
+        .isPresent();
   }
 
-  // Ranks copy without end and all passes are longer for it. Demand shifted before each new map was
-  // there, so none of them ever fitted.
+  // Guards against endless fetches that slow down all steps: if demand shifts before each new map
+  // is ready, none of the maps ever fits.
   @Test
-  void demandThatIsGoneBeforeTheCopyIsThereMovesNothing() {
+  void plansNothingWhenDemandEndsBeforeFetchDoes() {
     MapEconomy shortDemand = new MapEconomy(skew -> 40 + 60 * skew, 400, 100, 0.15, 450);
 
     assertThat(PlacementPlanner.plan(inTurn(), demand(1), EVEN, LIMITS, shortDemand)).isEmpty();
   }
 
-  // Passes of a large group stay twice as long as they need be. The gain of one expert in one set
-  // was measured against the load of all sets and ranks, and so fell under the least gain as the
-  // group grew.
+  // Guards against a gain threshold that depends on the size of the group: if the gain of one
+  // expert in one layer set is compared with the load of all layer sets and ranks, large groups
+  // stay unbalanced and their steps take twice as long as necessary.
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void largeGroupsBecomeAsEvenAsSmallOnes(long seed) {
+  void balancesLargeGroupAsWellAsSmallOne(long seed) {
     Random random = new Random(seed);
     int ranks = 192;
     double[] even = IntStream.range(0, ranks).mapToDouble(rank -> 1).toArray();
@@ -133,7 +133,7 @@
   }
 
   @Test
-  void evenDemandMovesNothing() {
+  void plansNothingForEvenDemand() {
     double[][] even = new double[SETS][EXPERTS];
     Arrays.stream(even).forEach(set -> Arrays.fill(set, 3));
 
@@ -142,15 +142,15 @@
   }
 
   @Test
-  void noDemandMovesNothing() {
+  void plansNothingWithoutDemand() {
     assertThat(PlacementPlanner.plan(inTurn(), new double[SETS][EXPERTS], EVEN, LIMITS, ECONOMY))
         .isEmpty();
   }
 
-  // Every stream of the group stutters. One rank turned slow and kept its part of the experts, and
-  // ranks step together, so each pass waited for it.
+  // Guards against a slow rank that keeps its share of the experts: ranks run in lock-step, so
+  // every step would wait for it.
   @Test
-  void slowRankGetsFewerTokens() {
+  void reducesSkewWhenOneRankIsSlow() {
     double[][] demand = demand(4);
     double[] slowness = EVEN.clone();
     slowness[3] = 3;
--- a/core/src/test/java/dev/ibishub/core/ranks/PlacementPropertyTest.java
+++ b/core/src/test/java/dev/ibishub/core/ranks/PlacementPropertyTest.java
@@ -13,11 +13,11 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** What every plan keeps, for groups, demands and limits drawn at random. */
+/** Properties of every plan, for random groups, demands and limits. */
 final class PlacementPropertyTest {
   private static final String SEED = "3";
   private static final int TRIES = 200;
-  private static final double ROUNDING = 1e-9;
+  private static final double ROUNDING_ERROR = 1e-9;
   private static final MapEconomy ECONOMY =
       new MapEconomy(skew -> 40 + 60 * skew, 50, 100, 0.15, 5_000);
 
@@ -40,60 +40,61 @@
   }
 
   @Property(tries = TRIES, seed = SEED)
-  void plansHoldAllExpertsWithinTheirLimits(@ForAll("cases") Case drawn) {
-    drawn
+  void plansHoldAllExpertsWithinSlotLimit(@ForAll("cases") Case testCase) {
+    testCase
         .plan()
         .ifPresent(
             plan -> {
-              assertThat(plan.map().holdsAll(drawn.demand()[0].length)).isTrue();
+              assertThat(plan.map().holdsAll(testCase.demand()[0].length)).isTrue();
               assertThat(Arrays.stream(plan.map().experts()).flatMap(Arrays::stream))
-                  .allMatch(experts -> experts.length <= drawn.limits().placesPerRank())
+                  .allMatch(experts -> experts.length <= testCase.limits().placesPerRank())
                   .allMatch(experts -> Arrays.stream(experts).distinct().count() == experts.length);
             });
   }
 
   @Property(tries = TRIES, seed = SEED)
-  void ranksFetchNoMoreThanAllowed(@ForAll("cases") Case drawn) {
-    drawn
+  void ranksFetchNoMoreThanAllowed(@ForAll("cases") Case testCase) {
+    testCase
         .plan()
         .ifPresent(
             plan -> {
               int fetched = 0;
-              for (int rank = 0; rank < drawn.map().ranks(); rank++) {
-                int ofRank = drawn.map().fetches(plan.map(), rank);
-                assertThat(ofRank).isLessThanOrEqualTo(drawn.limits().newPerRank());
-                assertThat(mostNewOfASet(drawn.map(), plan.map(), rank))
-                    .isLessThanOrEqualTo(drawn.limits().newPerSet());
-                fetched += ofRank;
+              for (int rank = 0; rank < testCase.map().ranks(); rank++) {
+                int fetchedByRank = testCase.map().fetches(plan.map(), rank);
+                assertThat(fetchedByRank).isLessThanOrEqualTo(testCase.limits().newPerRank());
+                assertThat(maximumFetchesPerSet(testCase.map(), plan.map(), rank))
+                    .isLessThanOrEqualTo(testCase.limits().newPerSet());
+                fetched += fetchedByRank;
               }
               assertThat(plan.fetches()).isEqualTo(fetched);
             });
   }
 
   @Property(tries = TRIES, seed = SEED)
-  void plansAreMoreEvenThanTheMapInUse(@ForAll("cases") Case drawn) {
-    drawn
+  void plansReduceSkew(@ForAll("cases") Case testCase) {
+    testCase
         .plan()
         .ifPresent(
             plan -> {
-              double before = drawn.map().skew(drawn.demand(), drawn.slowness());
-              double after = plan.map().skew(drawn.demand(), drawn.slowness());
+              double before = testCase.map().skew(testCase.demand(), testCase.slowness());
+              double after = plan.map().skew(testCase.demand(), testCase.slowness());
               assertThat(after).isLessThan(before);
-              assertThat(plan.skewAfter()).isBetween(after - ROUNDING, after + ROUNDING);
+              assertThat(plan.skewAfter())
+                  .isBetween(after - ROUNDING_ERROR, after + ROUNDING_ERROR);
               assertThat(plan.gainMillis()).isPositive();
             });
   }
 
   @Property(tries = TRIES, seed = SEED)
-  void samePlanForTheSameInput(@ForAll("cases") Case drawn) {
-    Optional<int[][][]> first = drawn.plan().map(plan -> plan.map().experts());
-    Optional<int[][][]> second = drawn.plan().map(plan -> plan.map().experts());
+  void planIsDeterministic(@ForAll("cases") Case testCase) {
+    Optional<int[][][]> first = testCase.plan().map(plan -> plan.map().experts());
+    Optional<int[][][]> second = testCase.plan().map(plan -> plan.map().experts());
 
     assertThat(first.isPresent()).isEqualTo(second.isPresent());
     first.ifPresent(map -> assertThat(map).isDeepEqualTo(second.orElseThrow()));
   }
 
-  private static int mostNewOfASet(GroupMap before, GroupMap after, int rank) {
+  private static int maximumFetchesPerSet(GroupMap before, GroupMap after, int rank) {
     return IntStream.range(0, before.sets())
         .map(
             set ->
@@ -102,7 +103,7 @@
                         .filter(
                             expert ->
                                 Arrays.stream(before.experts()[set][rank])
-                                    .noneMatch(own -> own == expert))
+                                    .noneMatch(held -> held == expert))
                         .count())
         .max()
         .orElse(0);
@@ -113,25 +114,25 @@
     Arbitrary<Integer> ranks = Arbitraries.integers().between(1, 24);
     Arbitrary<Integer> sets = Arbitraries.integers().between(1, 4);
     Arbitrary<Integer> expertsPerRank = Arbitraries.integers().between(1, 4);
-    Arbitrary<Integer> sparePlaces = Arbitraries.integers().between(0, 3);
+    Arbitrary<Integer> spareSlots = Arbitraries.integers().between(0, 3);
     Arbitrary<Integer> newPerSet = Arbitraries.integers().between(1, 4);
-    Arbitrary<Long> draws = Arbitraries.longs();
-    return Combinators.combine(ranks, sets, expertsPerRank, sparePlaces, newPerSet, draws)
-        .as(PlacementPropertyTest::drawn);
+    Arbitrary<Long> randomSeed = Arbitraries.longs();
+    return Combinators.combine(ranks, sets, expertsPerRank, spareSlots, newPerSet, randomSeed)
+        .as(PlacementPropertyTest::createCase);
   }
 
-  private static Case drawn(
-      int ranks, int sets, int expertsPerRank, int sparePlaces, int newPerSet, long draws) {
-    Random random = new Random(draws);
+  private static Case createCase(
+      int ranks, int sets, int expertsPerRank, int spareSlots, int newPerSet, long randomSeed) {
+    Random random = new Random(randomSeed);
     int experts = Math.max(1, ranks * expertsPerRank - random.nextInt(2));
     GroupMap map = GroupMap.inTurn(ranks, sets, experts);
     PlacementLimits limits =
         new PlacementLimits(
-            expertsPerRank + sparePlaces, newPerSet, newPerSet * sets, 1 + random.nextInt(3) * 0.1);
+            expertsPerRank + spareSlots, newPerSet, newPerSet * sets, 1 + random.nextInt(3) * 0.1);
     return new Case(map, demand(sets, experts, random), slowness(ranks, random), limits);
   }
 
-  /** Even, a power law, one expert that takes all, or nothing at all. */
+  /** Returns one of four demands: even, a power law, a single hot expert, or none at all. */
   private static double[][] demand(int sets, int experts, Random random) {
     int shape = random.nextInt(4);
     int hot = random.nextInt(experts);
