--- a/core/src/main/java/dev/ibishub/core/ExpertMap.java
+++ b/core/src/main/java/dev/ibishub/core/ExpertMap.java
@@ -35,7 +35,7 @@
    */
   public static ExpertMap of(int layers, int ranks, int slots, short[] experts) {
     if (experts.length != layers * ranks * slots) {
-      throw new IllegalArgumentException("one expert a slot is needed");
+      throw new IllegalArgumentException("experts must have one entry for each slot");
     }
     return new ExpertMap(layers, ranks, slots, experts.clone());
   }
--- a/core/src/main/java/dev/ibishub/core/internal/experts/LayerLoad.java
+++ b/core/src/main/java/dev/ibishub/core/internal/experts/LayerLoad.java
@@ -115,8 +115,8 @@
   }
 
   /**
-   * Returns the slots whose expert has a spare replica and whose loss adds the least load
-   * elsewhere.
+   * Returns the slots whose expert has a spare replica and would have the smallest share on each of
+   * its other replicas.
    */
   private int[] cheapestDonorSlots() {
     return IntStream.range(0, ranks * slots)
