--- a/core/src/main/java/dev/ibishub/core/ranks/ChangeSearch.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/ChangeSearch.java
@@ -29,7 +29,7 @@
   private static final int DESTINATION_CANDIDATES = 24;
 
   private final SetLayout layout;
-  private final int newPerSet;
+  private final int maximumFetchesPerSet;
   private final IntPredicate mayFetchMore;
 
   /** The slowest rank, which is to be relieved. */
@@ -49,12 +49,12 @@
    * Creates a search.
    *
    * @param layout the layout to improve
-   * @param newPerSet maximum number of experts of the layer set that a rank may fetch
+   * @param maximumFetchesPerSet maximum number of experts of the layer set that a rank may fetch
    * @param mayFetchMore whether a rank may fetch one more expert, counted over all layer sets
    */
-  ChangeSearch(SetLayout layout, int newPerSet, IntPredicate mayFetchMore) {
+  ChangeSearch(SetLayout layout, int maximumFetchesPerSet, IntPredicate mayFetchMore) {
     this.layout = layout;
-    this.newPerSet = newPerSet;
+    this.maximumFetchesPerSet = maximumFetchesPerSet;
     this.mayFetchMore = mayFetchMore;
   }
 
@@ -93,7 +93,9 @@
   private int fastestRankWithFreeSlot() {
     for (int position = 0; position < layout.ranks(); position++) {
       int rank = layout.rankByTime(position);
-      if (layout.hasFreeSlot(rank) && layout.fetched(rank) < newPerSet && mayFetchMore.test(rank)) {
+      if (layout.hasFreeSlot(rank)
+          && layout.fetched(rank) < maximumFetchesPerSet
+          && mayFetchMore.test(rank)) {
         return rank;
       }
     }
@@ -103,7 +105,7 @@
   private boolean mayHold(int rank, int expert) {
     return !layout.holds(rank, expert)
         && (!layout.needsFetch(rank, expert)
-            || (layout.fetched(rank) < newPerSet && mayFetchMore.test(rank)));
+            || (layout.fetched(rank) < maximumFetchesPerSet && mayFetchMore.test(rank)));
   }
 
   /** Proposes to drop a replica, whose tokens go to the other ranks that hold the expert. */
--- a/core/src/main/java/dev/ibishub/core/ranks/PlacementPlanner.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/PlacementPlanner.java
@@ -73,12 +73,12 @@
       PlacementSearch search, double skewNow, PlacementLimits limits) {
     List<Candidate> candidates = new ArrayList<>();
     double previousSkew = skewNow;
-    for (int fetches : fetchLimits(limits.newPerRank())) {
+    for (int fetches : fetchLimits(limits.maximumFetchesPerRank())) {
       search.balance(fetches);
       double skew = search.skew();
       if (skew < previousSkew) {
         MapEconomy.MapProfile profile =
-            new MapEconomy.MapProfile(search.maximumFetchesPerRank(), skew);
+            new MapEconomy.MapProfile(search.mostFetchesByOneRank(), skew);
         candidates.add(new Candidate(search.map(), search.fetches(), profile));
         previousSkew = skew;
       }
--- a/core/src/main/java/dev/ibishub/core/ranks/PlacementSearch.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/PlacementSearch.java
@@ -24,11 +24,11 @@
     this.layouts =
         IntStream.range(0, experts.length)
             .mapToObj(
-                set -> new SetLayout(experts[set], demand[set], slowness, limits.placesPerRank()))
+                set -> new SetLayout(experts[set], demand[set], slowness, limits.slotsPerRank()))
             .toArray(SetLayout[]::new);
     this.searches =
         Arrays.stream(layouts)
-            .map(layout -> new ChangeSearch(layout, limits.newPerSet(), this::mayFetch))
+            .map(layout -> new ChangeSearch(layout, limits.maximumFetchesPerSet(), this::mayFetch))
             .toArray(ChangeSearch[]::new);
     this.idealTimes =
         Arrays.stream(demand)
@@ -67,7 +67,7 @@
   }
 
   /** Returns the maximum number of experts that any one rank must fetch. */
-  int maximumFetchesPerRank() {
+  int mostFetchesByOneRank() {
     return Arrays.stream(fetchedByRank).max().orElse(0);
   }
 
@@ -85,7 +85,7 @@
   /** Returns how far the time of a layer set's slowest rank exceeds the acceptable time. */
   private double excess(int set) {
     SetLayout layout = layouts[set];
-    return layout.time(layout.slowestRank()) - limits.goodSkew() * idealTimes[set];
+    return layout.time(layout.slowestRank()) - limits.acceptableSkew() * idealTimes[set];
   }
 
   private void apply(int set, LayoutChange change) {
--- a/core/src/test/java/dev/ibishub/core/ranks/PlacementPlannerTest.java
+++ b/core/src/test/java/dev/ibishub/core/ranks/PlacementPlannerTest.java
@@ -47,10 +47,11 @@
 
     assertThat(plan.map().holdsAll(EXPERTS)).as("seed %d", seed).isTrue();
     for (int rank = 0; rank < RANKS; rank++) {
-      assertThat(current.fetches(plan.map(), rank)).isLessThanOrEqualTo(LIMITS.newPerRank());
+      assertThat(current.fetches(plan.map(), rank))
+          .isLessThanOrEqualTo(LIMITS.maximumFetchesPerRank());
     }
     assertThat(Arrays.stream(plan.map().experts()).flatMap(Arrays::stream))
-        .allMatch(experts -> experts.length <= LIMITS.placesPerRank())
+        .allMatch(experts -> experts.length <= LIMITS.slotsPerRank())
         .allMatch(experts -> Arrays.stream(experts).distinct().count() == experts.length);
   }
 
--- a/core/src/test/java/dev/ibishub/core/ranks/PlacementPropertyTest.java
+++ b/core/src/test/java/dev/ibishub/core/ranks/PlacementPropertyTest.java
@@ -47,7 +47,7 @@
             plan -> {
               assertThat(plan.map().holdsAll(testCase.demand()[0].length)).isTrue();
               assertThat(Arrays.stream(plan.map().experts()).flatMap(Arrays::stream))
-                  .allMatch(experts -> experts.length <= testCase.limits().placesPerRank())
+                  .allMatch(experts -> experts.length <= testCase.limits().slotsPerRank())
                   .allMatch(experts -> Arrays.stream(experts).distinct().count() == experts.length);
             });
   }
@@ -61,9 +61,10 @@
               int fetched = 0;
               for (int rank = 0; rank < testCase.map().ranks(); rank++) {
                 int fetchedByRank = testCase.map().fetches(plan.map(), rank);
-                assertThat(fetchedByRank).isLessThanOrEqualTo(testCase.limits().newPerRank());
-                assertThat(maximumFetchesPerSet(testCase.map(), plan.map(), rank))
-                    .isLessThanOrEqualTo(testCase.limits().newPerSet());
+                assertThat(fetchedByRank)
+                    .isLessThanOrEqualTo(testCase.limits().maximumFetchesPerRank());
+                assertThat(largestFetchCountOfSet(testCase.map(), plan.map(), rank))
+                    .isLessThanOrEqualTo(testCase.limits().maximumFetchesPerSet());
                 fetched += fetchedByRank;
               }
               assertThat(plan.fetches()).isEqualTo(fetched);
@@ -94,7 +95,7 @@
     first.ifPresent(map -> assertThat(map).isDeepEqualTo(second.orElseThrow()));
   }
 
-  private static int maximumFetchesPerSet(GroupMap before, GroupMap after, int rank) {
+  private static int largestFetchCountOfSet(GroupMap before, GroupMap after, int rank) {
     return IntStream.range(0, before.sets())
         .map(
             set ->
@@ -115,20 +116,29 @@
     Arbitrary<Integer> sets = Arbitraries.integers().between(1, 4);
     Arbitrary<Integer> expertsPerRank = Arbitraries.integers().between(1, 4);
     Arbitrary<Integer> spareSlots = Arbitraries.integers().between(0, 3);
-    Arbitrary<Integer> newPerSet = Arbitraries.integers().between(1, 4);
+    Arbitrary<Integer> maximumFetchesPerSet = Arbitraries.integers().between(1, 4);
     Arbitrary<Long> randomSeed = Arbitraries.longs();
-    return Combinators.combine(ranks, sets, expertsPerRank, spareSlots, newPerSet, randomSeed)
+    return Combinators.combine(
+            ranks, sets, expertsPerRank, spareSlots, maximumFetchesPerSet, randomSeed)
         .as(PlacementPropertyTest::createCase);
   }
 
   private static Case createCase(
-      int ranks, int sets, int expertsPerRank, int spareSlots, int newPerSet, long randomSeed) {
+      int ranks,
+      int sets,
+      int expertsPerRank,
+      int spareSlots,
+      int maximumFetchesPerSet,
+      long randomSeed) {
     Random random = new Random(randomSeed);
     int experts = Math.max(1, ranks * expertsPerRank - random.nextInt(2));
     GroupMap map = GroupMap.inTurn(ranks, sets, experts);
     PlacementLimits limits =
         new PlacementLimits(
-            expertsPerRank + spareSlots, newPerSet, newPerSet * sets, 1 + random.nextInt(3) * 0.1);
+            expertsPerRank + spareSlots,
+            maximumFetchesPerSet,
+            maximumFetchesPerSet * sets,
+            1 + random.nextInt(3) * 0.1);
     return new Case(map, demand(sets, experts, random), slowness(ranks, random), limits);
   }
 
