--- a/core/src/main/java/dev/ibishub/core/ConfigurationReader.java
+++ b/core/src/main/java/dev/ibishub/core/ConfigurationReader.java
@@ -2,18 +2,21 @@
 
 import dev.ibishub.core.ConfigurationEvent.Result;
 import dev.ibishub.core.internal.configuration.EventHistory;
-import dev.ibishub.core.internal.configuration.PastStates;
+import dev.ibishub.core.internal.configuration.RevisionHistory;
 import java.time.Instant;
 import java.util.List;
 import java.util.Optional;
 
 /**
- * Applies the log's stream {@code configuration} in offset order. Every reader that has read up to
- * an offset has reached the same verdict on each record before it, whatever its release: a change
- * takes hold if and only if it is based on the revision in force and results in the state whose
- * hash it names. Whether a text makes sense is judged before it is appended, never here.
+ * Applies the records of the log's stream {@code configuration} in offset order. All readers reach
+ * the same verdict on each record, whatever their release: a change is accepted if and only if it
+ * is based on the revision in force and results in the state whose hash it names. Texts are
+ * validated before they are appended, never here.
  *
- * <p>The revision only grows. Not thread-safe; the caller locks.
+ * <p>The revision never decreases. Not thread-safe.
+ *
+ * <p>Used behind ibishub's own interface; its counterpart on the platform of its users is {@code
+ * ConfigurationState} of the module node.
  *
  * <p>Example:
  *
@@ -25,7 +28,7 @@
 public final class ConfigurationReader {
   private final Options options;
   private final EventHistory events;
-  private final PastStates pastStates;
+  private final RevisionHistory revisions;
   private ConfigurationState state = ConfigurationState.initial();
   private long nextOffset;
   private long stateOffset;
@@ -35,30 +38,30 @@
   private Instant keptSince = Instant.EPOCH;
 
   /**
-   * Bounds of what a reader remembers.
+   * Bounds of a reader's memory.
    *
-   * @param maximumEvents events kept for history and audit trail
-   * @param eventsPerSnapshot events that a snapshot carries
-   * @param maximumRevisions past revisions kept
-   * @param maximumCharacters characters of past texts kept
+   * @param maximumEvents the most events kept for history and audit trail
+   * @param eventsPerSnapshot the most events in a snapshot
+   * @param maximumRevisions the most revisions kept
+   * @param maximumCharacters the most characters kept of the texts of these revisions
    */
   public record Options(
       int maximumEvents, int eventsPerSnapshot, int maximumRevisions, long maximumCharacters) {
-    /** Returns bounds that suit an entry. */
+    /** Returns 1,000 events, 64 in a snapshot, and 64 revisions of 4,000,000 characters. */
     public static Options defaults() {
       return new Options(1_000, 64, 64, 4_000_000);
     }
   }
 
   /**
-   * What a reader knows, in short.
+   * A summary of a reader's state, which processes compare to see which of them is behind.
    *
    * @param revision the revision in force
-   * @param hash its hash
-   * @param stateOffset offset of the first record that the state does not know
+   * @param hash hash of the state in force
+   * @param stateOffset offset of the first record that the state does not include
    */
   public record Digest(long revision, String hash, long stateOffset) {
-    /** Tells whether whoever sent the other digest knows something that this one does not. */
+    /** Tells whether the other digest's state is newer in revision or includes more records. */
     public boolean isBehind(Digest other) {
       return stateOffset < other.stateOffset || revision < other.revision;
     }
@@ -67,20 +70,20 @@
   private ConfigurationReader(Options options) {
     this.options = options;
     this.events = new EventHistory(options.maximumEvents());
-    this.pastStates = new PastStates(options.maximumRevisions(), options.maximumCharacters());
-    pastStates.add(state, state.base().length());
+    this.revisions = new RevisionHistory(options.maximumRevisions(), options.maximumCharacters());
+    revisions.add(state, state.base().length());
   }
 
-  /** Returns a reader that has read nothing. */
+  /** Creates a reader that has read nothing. */
   public static ConfigurationReader create(Options options) {
     return new ConfigurationReader(options);
   }
 
   /**
-   * Tells where the log begins now. Guards against retention: a reader from whom records were taken
-   * cannot know whether they were accepted, so applying what follows to its old state would accept
-   * changes that all others hold void. It shows as revisions that differ between processes. From
-   * here on the reader waits for a snapshot or for a peer's, and its state stays as it was.
+   * Skips the records that retention has deleted before this reader read them. The reader cannot
+   * know whether they were accepted; if it applied later records to its old state, it might accept
+   * changes that all other readers reject, and revisions would differ between processes. So it
+   * keeps its state and applies no change until it gets a snapshot from the log or from a peer.
    *
    * @param firstKept the lowest offset that the log still has
    */
@@ -92,11 +95,12 @@
   }
 
   /**
-   * Applies the record at {@link #nextOffset}; others are ignored, as they were applied before.
+   * Applies the record at {@link #nextOffset}; a record at any other offset is ignored.
    *
    * @param offset the record's offset
-   * @param appendedAt when the log took it
-   * @param record the record, or empty for bytes that are none, which every release skips
+   * @param appendedAt when the record was appended, by the log's clock
+   * @param record the record, or empty for bytes that are not a valid record, which every release
+   *     skips
    */
   public void apply(long offset, Instant appendedAt, Optional<ConfigurationRecord> record) {
     if (offset != nextOffset) {
@@ -107,10 +111,10 @@
       keptSince = appendedAt;
     }
     record.ifPresent(
-        present -> {
-          if (present instanceof ConfigurationChange change) {
+        parsed -> {
+          if (parsed instanceof ConfigurationChange change) {
             applyChange(offset, change);
-          } else if (present instanceof ConfigurationSnapshot snapshot) {
+          } else if (parsed instanceof ConfigurationSnapshot snapshot) {
             applySnapshot(offset, appendedAt, snapshot);
           }
         });
@@ -120,18 +124,18 @@
   }
 
   /**
-   * Tells that the log has nothing more for now. A reader that has come so far knows the
-   * configuration, also when none was ever published.
+   * Notes that the end of the log was reached. A reader that got there without a gap knows the
+   * configuration, even if none was ever published.
    */
   public void reachedEnd() {
     known |= anchored;
   }
 
   /**
-   * Takes the state of another process, if that is ahead. A state that is behind changes nothing,
-   * so a late or repeated one does no harm.
+   * Adopts the state of a peer if it is intact and ahead of this reader's. Any other snapshot is
+   * ignored, so snapshots may come late, repeatedly and in any order.
    *
-   * @param snapshot what the other process knows
+   * @param snapshot the peer's state
    */
   public void accept(ConfigurationSnapshot snapshot) {
     boolean ahead =
@@ -146,8 +150,8 @@
   }
 
   /**
-   * Joins the state taken from a peer to the log again, where the log still has every record that
-   * the state does not know.
+   * Resumes reading the log from a state adopted from a peer, if the log still has every record
+   * that the state does not include.
    *
    * @param firstKept the lowest offset that the log still has
    */
@@ -158,90 +162,99 @@
     }
   }
 
-  /** Returns the state in force as far as this reader knows. */
+  /** Returns the state in force according to the records read so far. */
   public ConfigurationState state() {
     return state;
   }
 
-  /** Returns a past revision, if it is still remembered. */
+  /** Returns the state of a revision, if it is still kept. */
   public Optional<ConfigurationState> state(long revision) {
-    return pastStates.of(revision);
+    return revisions.find(revision);
   }
 
-  /** Returns the offset of the next record wanted from the log. */
+  /** Returns the offset of the next record to read from the log. */
   public long nextOffset() {
     return nextOffset;
   }
 
-  /** Tells whether a state was ever learnt from log or peer; before, nothing may be decided. */
+  /**
+   * Tells whether a state was learnt from the log or from a peer. Until then {@link #state()} is
+   * only a placeholder and no decision may be based on it.
+   */
   public boolean isKnown() {
     return known;
   }
 
-  /** Tells whether each further record of the log can be judged. */
+  /** Tells whether the state includes every record before {@link #nextOffset}, without a gap. */
   public boolean isAnchored() {
     return anchored;
   }
 
   /**
-   * Tells whether this reader may append a snapshot: it must be able to name the very offset at
-   * which the snapshot would come.
+   * Tells whether this reader may append a snapshot: it must know the configuration and include
+   * every record that it has read, and there must be at least one.
    */
   public boolean maySnapshot() {
     return anchored && known && stateOffset == nextOffset && nextOffset > 0;
   }
 
   /**
-   * Returns when the log took the record from which an empty process could learn the state; the
-   * epoch where this reader has not seen that record.
+   * Returns when the newest record was appended from which a process without state could restore
+   * the configuration: the newest valid snapshot, or the record at offset 0.
+   *
+   * @return the time by the log's clock, or {@link Instant#EPOCH} if this reader has read no such
+   *     record
    */
   public Instant keptSince() {
     return keptSince;
   }
 
-  /** Returns how many snapshots on the log contradicted this reader; more than 0 is a fault. */
+  /**
+   * Returns how many snapshots on the log differed from this reader's state; above 0 is a fault.
+   */
   public long divergences() {
     return divergences;
   }
 
-  /** Returns what became of the last changes, oldest first. */
+  /** Returns the verdicts on the latest changes, oldest first. */
   public List<ConfigurationEvent> events() {
     return events.all();
   }
 
-  /** Returns what became of a change, if it was read and is still remembered. */
+  /** Returns the verdict on a change, if the change was read and its event is still kept. */
   public Optional<ConfigurationEvent> event(String recordId) {
-    return events.of(recordId);
+    return events.find(recordId);
   }
 
   /**
-   * Describes the change that won over all others that are based on the same revision.
+   * Describes the change that was accepted on top of a revision, for the author of one that was
+   * not. Describes the revision in force if that change's event is no longer kept.
    *
    * @param basedOnRevision a revision below the one in force
    */
   public String winnerOver(long basedOnRevision) {
-    long contested = basedOnRevision + 1;
+    long contestedRevision = basedOnRevision + 1;
     return events
-        .accepted(contested)
-        .map(winner -> describe(contested, winner.author(), winner.at(), winner.recordId()))
+        .findAccepted(contestedRevision)
+        .map(winner -> describe(contestedRevision, winner.author(), winner.at(), winner.recordId()))
         .orElseGet(
             () ->
                 describe(state.revision(), state.author(), state.at(), state.recordId())
                     + ", now in force");
   }
 
-  /** Returns in short what this reader knows. */
+  /** Returns a summary of the state. */
   public Digest digest() {
     return new Digest(state.revision(), state.hash(), stateOffset);
   }
 
   /**
-   * Returns what this reader knows, for the log or for a peer.
+   * Returns the state and the latest events, to append to the log or to send to a peer.
    *
-   * @param recordId unique name of the record that it becomes
+   * @param recordId unique id of the new record
    */
   public ConfigurationSnapshot snapshot(String recordId) {
-    List<ConfigurationEvent> recent = events.last(options.eventsPerSnapshot());
+    List<ConfigurationEvent> recent = events.latest(options.eventsPerSnapshot());
     return new ConfigurationSnapshot(recordId, stateOffset, state, recent);
   }
 
@@ -250,21 +263,21 @@
       return;
     }
     if (change.basedOnRevision() != state.revision()) {
-      events.add(judged(offset, change, Result.CONFLICT, winnerOver(change.basedOnRevision())));
+      events.add(eventOf(offset, change, Result.CONFLICT, winnerOver(change.basedOnRevision())));
       return;
     }
-    Optional<ConfigurationState> next = next(change);
-    if (next.isEmpty()) {
-      events.add(judged(offset, change, Result.CORRUPT, "does not result in the hash it names"));
+    Optional<ConfigurationState> result = resultOf(change);
+    if (result.isEmpty()) {
+      events.add(eventOf(offset, change, Result.CORRUPT, "does not result in the hash it names"));
       return;
     }
-    state = next.get();
+    state = result.get();
     known = true;
-    pastStates.add(state, state.text(change.site()).length());
-    events.add(judged(offset, change, Result.ACCEPTED, ""));
+    revisions.add(state, state.text(change.site()).length());
+    events.add(eventOf(offset, change, Result.ACCEPTED, ""));
   }
 
-  private Optional<ConfigurationState> next(ConfigurationChange change) {
+  private Optional<ConfigurationState> resultOf(ConfigurationChange change) {
     String old = state.text(change.site());
     if (!change.fits(old)) {
       return Optional.empty();
@@ -280,9 +293,9 @@
   }
 
   /**
-   * A snapshot counts only at the very offset that it names. Guards against a slow writer: had
-   * another change come between, a reader that starts at this snapshot would never see that change,
-   * which shows as an accepted change that is gone once retention has passed it.
+   * Applies a snapshot if its offset on the log is the one that it names. A slow writer's snapshot
+   * may come after a change that it does not include; a reader that started from it would miss that
+   * change, which would be lost once retention deletes its record.
    */
   private void applySnapshot(long offset, Instant appendedAt, ConfigurationSnapshot snapshot) {
     if (snapshot.nextOffset() != offset || !snapshot.state().isIntact()) {
@@ -305,7 +318,7 @@
       long characters =
           snapshot.state().base().length()
               + snapshot.state().overlays().values().stream().mapToLong(String::length).sum();
-      pastStates.add(snapshot.state(), characters);
+      revisions.add(snapshot.state(), characters);
     }
     state = snapshot.state();
     stateOffset = snapshot.nextOffset();
@@ -316,7 +329,7 @@
     return "revision " + revision + " by " + author + " at " + at + " (" + recordId + ")";
   }
 
-  private ConfigurationEvent judged(
+  private ConfigurationEvent eventOf(
       long offset, ConfigurationChange change, Result result, String detail) {
     return new ConfigurationEvent(
         offset,
--- a/core/src/main/java/dev/ibishub/core/internal/configuration/TextHash.java
+++ b/core/src/main/java/dev/ibishub/core/internal/configuration/TextHash.java
@@ -8,7 +8,7 @@
 import java.util.HexFormat;
 import java.util.SortedMap;
 
-/** The hash of a revision's texts. */
+/** A hash over the number and the texts of a revision. */
 public final class TextHash {
   private TextHash() {}
 
@@ -18,8 +18,8 @@
    * @param revision number of the revision
    * @param base the text of the base
    * @param overlays the texts of the overlays by site
-   * @return SHA-256 in hexadecimal; each text enters with its length, so that no two states look
-   *     alike
+   * @return SHA-256 in hexadecimal; each text is hashed with its length in front, so that texts
+   *     split in another place have another hash
    */
   public static String of(long revision, String base, SortedMap<String, String> overlays) {
     MessageDigest digest = sha256();
--- a/core/src/main/java/dev/ibishub/core/internal/configuration/package-info.java
+++ b/core/src/main/java/dev/ibishub/core/internal/configuration/package-info.java
@@ -1,2 +1,2 @@
-/** Helpers of the configuration's acceptance. */
+/** Internals of {@link dev.ibishub.core.ConfigurationReader}: hashes and bounded histories. */
 package dev.ibishub.core.internal.configuration;
