--- a/core/src/main/java/dev/ibishub/core/ConfigurationChange.java
+++ b/core/src/main/java/dev/ibishub/core/ConfigurationChange.java
@@ -3,19 +3,19 @@
 import java.time.Instant;
 
 /**
- * A change of the base or of one overlay, as an operator published it. The new text is carried as
- * what differs from the text that it replaces, so that a small change of a large file is a small
+ * A change of the base or of one overlay, as an operator published it. Only the part of the new
+ * text that differs from the old one is recorded, so a small change of a large file is a small
  * record.
  *
- * @param recordId unique name
+ * @param recordId unique id of the record
  * @param site the site whose overlay changes, or empty for the base
- * @param basedOnRevision the revision that the author saw; the change takes hold only on top of it
+ * @param basedOnRevision the revision that the author saw; the change is accepted only on top of it
  * @param hash hash of the whole state that results, see {@link ConfigurationState#hash}
- * @param author the operator
- * @param at when it was published, by the publishing process's clock; for people only
- * @param keptStart how many characters of the old text stay at its start
- * @param keptEnd how many characters of the old text stay at its end
- * @param text what stands between the two
+ * @param author the operator who published it
+ * @param at when it was published, by the publishing process's clock; informational only
+ * @param keptStart length in characters of the prefix of the old text that stays
+ * @param keptEnd length in characters of the suffix of the old text that stays
+ * @param text the new text between this prefix and this suffix
  */
 public record ConfigurationChange(
     String recordId,
@@ -30,14 +30,14 @@
     implements ConfigurationRecord {
 
   /**
-   * Makes the record of a change.
+   * Creates the record of a change.
    *
-   * @param recordId unique name
+   * @param recordId unique id of the record
    * @param state the state that the author saw
    * @param site the site whose overlay changes, or empty for the base
    * @param text the whole new text
-   * @param author the operator
-   * @param at the time now
+   * @param author the operator who publishes it
+   * @param at the current time
    * @return the record to append
    */
   public static ConfigurationChange of(
@@ -48,8 +48,8 @@
       String author,
       Instant at) {
     String old = state.text(site);
-    int start = commonStart(old, text);
-    int end = commonEnd(old, text, start);
+    int prefixLength = commonPrefixLength(old, text);
+    int suffixLength = commonSuffixLength(old, text, prefixLength);
     return new ConfigurationChange(
         recordId,
         site,
@@ -57,13 +57,13 @@
         state.with(site, text, recordId, author, at).hash(),
         author,
         at,
-        start,
-        end,
-        text.substring(start, text.length() - end));
+        prefixLength,
+        suffixLength,
+        text.substring(prefixLength, text.length() - suffixLength));
   }
 
   /**
-   * Tells whether the old text is long enough to have been the one that the author saw.
+   * Tells whether a text is long enough for the prefix and the suffix that the change keeps of it.
    *
    * @param old the text to be replaced
    */
@@ -71,27 +71,27 @@
     return keptStart >= 0 && keptEnd >= 0 && (long) keptStart + keptEnd <= old.length();
   }
 
-  /** Makes the new text from the one that it replaces. */
+  /** Returns the new text made from the text to be replaced. */
   String appliedTo(String old) {
     return old.substring(0, keptStart) + text + old.substring(old.length() - keptEnd);
   }
 
-  private static int commonStart(String one, String two) {
+  private static int commonPrefixLength(String one, String two) {
     int limit = Math.min(one.length(), two.length());
-    int same = 0;
-    while (same < limit && one.charAt(same) == two.charAt(same)) {
-      same++;
+    int common = 0;
+    while (common < limit && one.charAt(common) == two.charAt(common)) {
+      common++;
     }
-    return same;
+    return common;
   }
 
-  private static int commonEnd(String one, String two, int start) {
-    int limit = Math.min(one.length(), two.length()) - start;
-    int same = 0;
-    while (same < limit
-        && one.charAt(one.length() - 1 - same) == two.charAt(two.length() - 1 - same)) {
-      same++;
+  private static int commonSuffixLength(String one, String two, int prefixLength) {
+    int limit = Math.min(one.length(), two.length()) - prefixLength;
+    int common = 0;
+    while (common < limit
+        && one.charAt(one.length() - 1 - common) == two.charAt(two.length() - 1 - common)) {
+      common++;
     }
-    return same;
+    return common;
   }
 }
--- a/core/src/main/java/dev/ibishub/core/ConfigurationEvent.java
+++ b/core/src/main/java/dev/ibishub/core/ConfigurationEvent.java
@@ -3,17 +3,18 @@
 import java.time.Instant;
 
 /**
- * What became of one published change; an entry of history and audit trail.
+ * The verdict on one published change; an entry of the history and the audit trail.
  *
  * @param offset the change's offset in the log
- * @param recordId the change's unique name
+ * @param recordId the change's unique id
  * @param site the site whose overlay it changes, or empty for the base
  * @param author who published it
- * @param at when, by the publishing process's clock
+ * @param at when it was published, by the publishing process's clock
  * @param basedOnRevision the revision that the author saw
- * @param result whether it took hold
- * @param revision the revision that it made; for a void change the revision then in force
- * @param detail for a void change why, naming the change that won
+ * @param result whether it was accepted
+ * @param revision the revision that it made; for a rejected change the revision then in force
+ * @param detail why the change was rejected; for a conflict, it names the change that was accepted
+ *     instead; empty for an accepted change
  */
 public record ConfigurationEvent(
     long offset,
@@ -26,13 +27,13 @@
     long revision,
     String detail) {
 
-  /** Whether a change took hold. */
+  /** Whether a change was accepted. */
   public enum Result {
-    /** It is in force, or was until a later change. */
+    /** In force, or replaced by a later change. */
     ACCEPTED,
-    /** Another change had come before it; it never takes hold. */
+    /** Rejected for good: not based on the revision that was in force. */
     CONFLICT,
-    /** It does not result in the state whose hash it names; it never takes hold. */
+    /** Rejected for good: does not result in the state whose hash it names. */
     CORRUPT
   }
 }
--- a/core/src/main/java/dev/ibishub/core/ConfigurationRecord.java
+++ b/core/src/main/java/dev/ibishub/core/ConfigurationRecord.java
@@ -2,6 +2,6 @@
 
 /** A record of the log's stream {@code configuration}. */
 public sealed interface ConfigurationRecord permits ConfigurationChange, ConfigurationSnapshot {
-  /** Returns the unique name that the record's writer drew for it. */
+  /** Returns the unique id that the record's writer gave it. */
   String recordId();
 }
--- a/core/src/main/java/dev/ibishub/core/ConfigurationSnapshot.java
+++ b/core/src/main/java/dev/ibishub/core/ConfigurationSnapshot.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * The state after all records before an offset. On the log it keeps the state from being lost with
- * the records that made it; between processes it brings those up to date that are behind.
+ * The accepted state up to an offset of the log. Appended to the log, a snapshot preserves the
+ * state when retention deletes the records that led to it; sent to a peer that is behind, it brings
+ * that peer up to date.
  *
- * @param recordId unique name
- * @param nextOffset offset of the first record that the state does not know
+ * @param recordId unique id of the record
+ * @param nextOffset offset of the first record that the state does not include
  * @param state the accepted state
- * @param recentEvents what became of the last records, oldest first
+ * @param recentEvents the verdicts on the latest changes, oldest first
  */
 public record ConfigurationSnapshot(
     String recordId,
--- a/core/src/main/java/dev/ibishub/core/ConfigurationState.java
+++ b/core/src/main/java/dev/ibishub/core/ConfigurationState.java
@@ -8,13 +8,13 @@
 import java.util.TreeMap;
 
 /**
- * The texts of one accepted revision and who made it. Immutable, so thread-safe.
+ * One accepted revision: its texts, and the change that made it. Immutable, so thread-safe.
  *
- * @param revision 0 before the first change, then one more with each accepted change
+ * @param revision 0 before the first change, then incremented by each accepted change
  * @param base the text of the base
  * @param overlays the texts of the overlays, by site
- * @param recordId the change that made the revision, or empty for revision 0
- * @param author who made it
+ * @param recordId id of the change that made the revision, or empty for revision 0
+ * @param author who published that change, or empty for revision 0
  * @param at when it was published, by the publishing process's clock
  * @param hash SHA-256 over the revision and all texts, in hexadecimal
  */
@@ -27,7 +27,7 @@
     Instant at,
     String hash) {
 
-  /** The text of a base that nobody has published yet. */
+  /** The text of a base or an overlay that was never published. */
   public static final String EMPTY_TEXT = "{}";
 
   /** Copies the overlays. */
@@ -41,13 +41,13 @@
   }
 
   /**
-   * Makes a state and works out its hash.
+   * Creates a state and computes its hash.
    *
    * @param revision number of the revision
    * @param base the text of the base
    * @param overlays the texts of the overlays, by site
-   * @param recordId the change that made the revision
-   * @param author who made it
+   * @param recordId id of the change that made the revision
+   * @param author who published the change
    * @param at when it was published
    * @return the state
    */
@@ -67,19 +67,19 @@
    * Returns the text of the base or of an overlay.
    *
    * @param site the site, or empty for the base
-   * @return the text; {@link #EMPTY_TEXT} for an overlay that nobody has published
+   * @return the text; {@link #EMPTY_TEXT} if it was never published
    */
   public String text(String site) {
     return site.isEmpty() ? base : overlays.getOrDefault(site, EMPTY_TEXT);
   }
 
   /**
-   * Returns the next revision, in which one text is another.
+   * Returns the next revision, in which one text is replaced.
    *
    * @param site the site whose overlay changes, or empty for the base
    * @param text the whole new text
-   * @param newRecordId the change that makes the revision
-   * @param newAuthor who makes it
+   * @param newRecordId id of the change that makes the revision
+   * @param newAuthor who published the change
    * @param newAt when it was published
    * @return the state that results
    */
@@ -93,7 +93,7 @@
     return of(revision + 1, newBase, newOverlays, newRecordId, newAuthor, newAt);
   }
 
-  /** Tells whether the hash is that of the revision and texts. */
+  /** Tells whether the hash matches the revision and the texts. */
   public boolean isIntact() {
     return hash.equals(TextHash.of(revision, base, overlays));
   }
