--- a/core/src/main/java/dev/ibishub/core/Configuration.java
+++ b/core/src/main/java/dev/ibishub/core/Configuration.java
@@ -9,19 +9,20 @@
 import java.util.stream.Collectors;
 
 /**
- * The configuration that is in force at one site: the base with the site's overlay laid over it.
- * Immutable, so thread-safe.
+ * The configuration in force at one site: the base with the site's overlay applied. Immutable, so
+ * thread-safe. Used behind ibishub's own interface; the platform of its users has a configuration
+ * of its own.
  *
  * <p>Example: {@code configuration.workspaceOfKey(sha256).map(Configuration.Workspace::weight)}.
  *
  * @param revision number of the accepted revision, 0 before the first
  * @param site name of the site
- * @param zones failure domains of the site
- * @param workspaces those that the site serves, by name
- * @param models those that the site serves, by name
- * @param groups by name
- * @param services by name
- * @param placements what each target serves, by target
+ * @param zones names of the site's failure domains
+ * @param workspaces workspaces that the site serves, by name
+ * @param models models that the site serves, by name
+ * @param groups expert-parallel groups, by name
+ * @param services plain services, by name
+ * @param placements what each target serves, by id of the target
  */
 public record Configuration(
     long revision,
@@ -43,17 +44,17 @@
     placements = Map.copyOf(placements);
   }
 
-  /** Returns the configuration of a site for which nothing has been published. */
+  /** Returns the configuration of a site for which nothing was published yet. */
   public static Configuration empty(String site) {
     return new Configuration(0, site, List.of(), Map.of(), Map.of(), Map.of(), Map.of(), Map.of());
   }
 
   /**
-   * Finds the workspace of a caller. Build an index with {@link #workspacesByKey} where it is asked
-   * for each request.
+   * Finds the workspace of a caller by a linear search. For a lookup on each request, build an
+   * index with {@link #workspacesByKey}.
    *
    * @param keySha256 SHA-256 of the caller's key, 64 lower-case hexadecimal digits
-   * @return the workspace, or empty where none has this key
+   * @return the workspace, or empty if none has this key
    */
   public Optional<Workspace> workspaceOfKey(String keySha256) {
     return workspaces.values().stream()
@@ -61,7 +62,7 @@
         .findFirst();
   }
 
-  /** Returns the workspaces by the SHA-256 of each of their keys. */
+  /** Returns an index of the workspaces by the SHA-256 of each of their keys. */
   public Map<String, Workspace> workspacesByKey() {
     return workspaces.values().stream()
         .flatMap(workspace -> workspace.keySha256().stream().map(key -> Map.entry(key, workspace)))
@@ -69,14 +70,14 @@
   }
 
   /**
-   * Groups named things by name.
+   * Indexes elements by name.
    *
-   * @param things what to index, each name once
-   * @param name tells the name of a thing
-   * @return the things by name
+   * @param elements the elements, whose names must be unique
+   * @param nameOf returns the name of an element
+   * @return the elements by name
    */
-  public static <T> Map<String, T> byName(List<T> things, Function<T, String> name) {
-    return things.stream().collect(Collectors.toUnmodifiableMap(name, Function.identity()));
+  public static <T> Map<String, T> byName(List<T> elements, Function<T, String> nameOf) {
+    return elements.stream().collect(Collectors.toUnmodifiableMap(nameOf, Function.identity()));
   }
 
   /**
@@ -84,12 +85,12 @@
    *
    * @param name unique name
    * @param keySha256 SHA-256 of each key that the customer's callers may use, lower-case
-   *     hexadecimal; several while a key is changed
-   * @param weight share of capacity against the other workspaces, when work waits
-   * @param requestsPerSecond the most requests a second over all entries of the site
-   * @param tokensPerSecond the most tokens a second over all entries of the site
-   * @param maximumConcurrent the most requests in flight over all entries of the site
-   * @param priority higher runs first at the engine
+   *     hexadecimal; more than one while a key is rotated
+   * @param weight share of the capacity relative to the other workspaces while requests queue
+   * @param requestsPerSecond limit on requests per second, over all entries of the site
+   * @param tokensPerSecond limit on tokens per second, over all entries of the site
+   * @param maximumConcurrent limit on requests in flight, over all entries of the site
+   * @param priority priority at the engine, where higher values run first
    */
   public record Workspace(
       String name,
@@ -110,7 +111,7 @@
    * @param name unique name
    * @param versions versions that callers may ask for
    * @param adapters adapters that callers may ask for
-   * @param group the group that serves it, or empty for single replicas
+   * @param group the group that serves it, or empty if single replicas serve it
    */
   public record Model(
       String name, List<String> versions, List<String> adapters, Optional<String> group) {
@@ -124,12 +125,12 @@
    * An expert-parallel group.
    *
    * @param name unique name
-   * @param ranks how many ranks it has
-   * @param experts how many experts a layer has
-   * @param layers how many layers have experts
-   * @param expertBytes bytes of the weights of one expert of one layer
-   * @param skewWeight what a unit of step-time skew weighs when a move of experts is judged
-   * @param costWeight what a unit of rebalancing cost weighs
+   * @param ranks number of ranks
+   * @param experts number of experts in each layer
+   * @param layers number of layers that have experts
+   * @param expertBytes size in bytes of the weights of one expert of one layer
+   * @param skewWeight weight of step-time skew when a rebalance of experts is planned
+   * @param costWeight weight of the cost of that rebalance
    */
   public record Group(
       String name,
@@ -144,7 +145,7 @@
    * A plain service.
    *
    * @param name unique name
-   * @param unrepeatableCalls the calls that run at most once
+   * @param unrepeatableCalls the calls that must run at most once
    */
   public record Service(String name, List<UnrepeatableCall> unrepeatableCalls) {
     public Service {
@@ -155,7 +156,8 @@
      * Tells whether a call may be repeated.
      *
      * @param method the HTTP method
-     * @param path the path behind the service's name, from the slash on, without a query
+     * @param path the part of the path after the service's name, with its leading slash and without
+     *     a query
      */
     public boolean mayBeRepeated(String method, String path) {
       return unrepeatableCalls.stream().noneMatch(call -> call.matches(method, path));
@@ -163,18 +165,18 @@
   }
 
   /**
-   * Calls that run at most once.
+   * A pattern of calls that must run at most once.
    *
    * @param method the HTTP method
-   * @param path the path, in which {@code *} stands for any part
+   * @param path the path, in which {@code *} matches any text, also an empty one
    * @param expression the path as a regular expression
    */
   public record UnrepeatableCall(String method, String path, Pattern expression) {
     /**
-     * Makes a pattern of calls.
+     * Creates a pattern of calls.
      *
      * @param method the HTTP method
-     * @param path the path, in which {@code *} stands for any part, also an empty one
+     * @param path the path, in which {@code *} matches any text, also an empty one
      */
     public static UnrepeatableCall of(String method, String path) {
       String expression = "\\Q" + path.replace("*", "\\E.*\\Q") + "\\E";
@@ -189,11 +191,11 @@
   /**
    * What a target serves.
    *
-   * @param target the target's id
-   * @param models names of the models
-   * @param versions versions loaded of these, empty for any
-   * @param adapters adapters loaded of these
-   * @param service the plain service, for targets of one
+   * @param target id of the target
+   * @param models names of the models that it serves
+   * @param versions versions of these models that it has loaded, empty for any
+   * @param adapters adapters of these models that it has loaded
+   * @param service the plain service that it is an instance of, if any
    */
   public record Placement(
       String target,
