--- a/core/src/main/java/dev/ibishub/core/SnapshotSchedule.java
+++ b/core/src/main/java/dev/ibishub/core/SnapshotSchedule.java
@@ -6,45 +6,56 @@
 import java.util.Collection;
 
 /**
- * Decides when a process appends the configuration to the log again, before retention takes the
- * record from which an empty process could learn it. One process does it, chosen by rendezvous
- * hashing over the live ones; the others follow one after the other, each at a later deadline, so
- * that a dead or cut-off writer, or different views of who is live, delay it but never prevent it.
+ * Decides when a process appends a snapshot of the configuration to the log, before retention
+ * deletes the record from which a process without state could restore it. Rendezvous hashing puts
+ * the live processes in order: the first one writes, and each further one has a later deadline, so
+ * that a failed or partitioned writer, or different views of who is live, delay the snapshot but
+ * don't prevent it.
  */
 public final class SnapshotSchedule {
-  /** Share of the retention after which the first process writes. */
-  private static final int FIRST_PERCENT = 50;
+  /** Deadline of the first process, in percent of the retention. */
+  private static final int FIRST_DEADLINE_PERCENT = 50;
 
-  /** Share of the retention by which each further process waits longer. */
-  private static final int STEP_PERCENT = 5;
+  /** Delay of each further process after the one before it, in percent of the retention. */
+  private static final int DEADLINE_STEP_PERCENT = 5;
 
-  /** From this rank on all write at the same deadline, while there is still time to repeat it. */
-  private static final int LAST_RANK = 6;
+  /**
+   * Position from which on all processes have the same deadline, which leaves time to repeat a
+   * failed append.
+   */
+  private static final int LAST_POSITION = 6;
 
   private SnapshotSchedule() {}
 
   /**
    * Tells when a process should append a snapshot.
    *
-   * @param keptSince when the log took the record from which an empty process could start now
+   * @param restorePointAt when the record was appended from which a process without state could
+   *     restore the configuration, see {@link ConfigurationReader#keptSince}
    * @param retention how long the log keeps records
-   * @param self the process
-   * @param live all processes that might write, as this one sees them
-   * @param revision the revision in force, so that the choice moves on with it
+   * @param self id of the process
+   * @param live ids of all live processes that may write, as this one sees them
+   * @param revision the revision in force; the order of the processes differs from revision to
+   *     revision
    * @return the deadline; once it has passed, the process writes
    */
   public static Instant dueAt(
-      Instant keptSince, Duration retention, String self, Collection<String> live, long revision) {
-    long rank =
+      Instant restorePointAt,
+      Duration retention,
+      String self,
+      Collection<String> live,
+      long revision) {
+    long position =
         live.stream()
             .filter(other -> !other.equals(self))
-            .filter(other -> weight(other, revision) < weight(self, revision))
+            .filter(other -> score(other, revision) < score(self, revision))
             .count();
-    long percent = FIRST_PERCENT + STEP_PERCENT * Math.min(rank, LAST_RANK);
-    return keptSince.plus(retention.multipliedBy(percent).dividedBy(100));
+    long percent =
+        FIRST_DEADLINE_PERCENT + DEADLINE_STEP_PERCENT * Math.min(position, LAST_POSITION);
+    return restorePointAt.plus(retention.multipliedBy(percent).dividedBy(100));
   }
 
-  private static long weight(String process, long revision) {
+  private static long score(String process, long revision) {
     return Hashing.komihash5_0().hashCharsToLong(process + '#' + revision);
   }
 }
--- a/core/src/test/java/dev/ibishub/core/SnapshotScheduleTest.java
+++ b/core/src/test/java/dev/ibishub/core/SnapshotScheduleTest.java
@@ -13,7 +13,7 @@
   private static final Duration RETENTION = Duration.ofMinutes(100);
   private static final List<String> LIVE = List.of("a", "b", "c", "d");
 
-  private static List<Duration> waits(long revision) {
+  private static List<Duration> delays(long revision) {
     return LIVE.stream()
         .map(self -> SnapshotSchedule.dueAt(START, RETENTION, self, LIVE, revision))
         .map(due -> Duration.between(START, due))
@@ -22,8 +22,8 @@
   }
 
   @Test
-  void oneProcessWritesFirstAndTheOthersFollowOneByOne() {
-    assertThat(waits(7))
+  void deadlinesOfProcessesFollowOneByOne() {
+    assertThat(delays(7))
         .containsExactly(
             Duration.ofMinutes(50),
             Duration.ofMinutes(55),
@@ -32,11 +32,11 @@
   }
 
   /**
-   * The chosen writer is cut off and each process sees another list of live ones. Whatever it sees,
-   * it writes by four fifths of the retention.
+   * The first writer may be partitioned, and each process may see other processes as live. Every
+   * deadline is at most four fifths of the retention, however many processes are seen as live.
    */
   @Test
-  void everyProcessWritesInTimeWhateverItTakesForLive() {
+  void everyDeadlineIsBoundedWhenManyProcessesAreLive() {
     List<String> many = IntStream.range(0, 370).mapToObj(i -> "e" + i).toList();
 
     assertThat(many)
