--- a/core/src/test/java/dev/ibishub/core/ConfigurationHistoryTest.java
+++ b/core/src/test/java/dev/ibishub/core/ConfigurationHistoryTest.java
@@ -15,40 +15,41 @@
 import net.jqwik.api.constraints.LongRange;
 
 /**
- * Random histories of real configuration readers: operators race at several sites, appends and
- * snapshots come late, twice or never, readers are slow, restart empty, and copy from each other.
+ * Simulates random histories with real configuration readers: operators of several sites publish
+ * concurrently, appends of changes and snapshots are delayed, repeated or lost, and readers are
+ * slow, restart without state, and adopt each other's state.
  */
 class ConfigurationHistoryTest {
   private static final int STEPS = 200;
   private static final int READERS = 3;
 
   @Property(seed = "20260104", tries = 500)
-  void noRevisionIsEverTakenBackOrReadInTwoWays(@ForAll @LongRange(min = 0) long seed) {
-    World world = new World(new Random(seed));
+  void revisionNeverDecreasesAndHasOneStateAtAllReaders(@ForAll @LongRange(min = 0) long seed) {
+    Simulation simulation = new Simulation(new Random(seed));
 
     for (int step = 0; step < STEPS; step++) {
-      world.step();
-      world.observe();
+      simulation.step();
+      simulation.observe();
     }
-    world.settle();
+    simulation.settle();
 
-    assertThat(world.breaches).as("seed %d", seed).isEmpty();
-    assertThat(world.readers.stream().map(reader -> reader.state().hash()).distinct())
+    assertThat(simulation.violations).as("seed %d", seed).isEmpty();
+    assertThat(simulation.readers.stream().map(reader -> reader.state().hash()).distinct())
         .as("one state everywhere, seed %d", seed)
         .hasSize(1);
   }
 
-  private static final class World {
+  private static final class Simulation {
     private final RandomGenerator random;
     private final List<ConfigurationReader> readers = new ArrayList<>();
-    private final long[] highest = new long[READERS];
+    private final long[] lastRevision = new long[READERS];
     private final List<ConfigurationRecord> log = new ArrayList<>();
-    private final List<ConfigurationRecord> onTheWay = new ArrayList<>();
+    private final List<ConfigurationRecord> pendingAppends = new ArrayList<>();
     private final Map<Long, String> hashOfRevision = new HashMap<>();
-    private final List<String> breaches = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
     private int records;
 
-    World(RandomGenerator random) {
+    Simulation(RandomGenerator random) {
       this.random = random;
       for (int i = 0; i < READERS; i++) {
         readers.add(emptyReader());
@@ -56,68 +57,70 @@
     }
 
     void step() {
-      int who = random.nextInt(READERS);
+      int readerIndex = random.nextInt(READERS);
       switch (random.nextInt(10)) {
-        case 0 -> publish(readers.get(who));
-        case 1 -> onTheWay.add(readers.get(who).snapshot("record-" + records++));
-        case 2, 3 -> take(true);
-        case 4 -> take(false);
-        case 5 -> copy(readers.get(who), readers.get(random.nextInt(READERS)));
-        case 6 -> restartNowAndThen(who);
-        default -> read(readers.get(who));
+        case 0 -> publish(readers.get(readerIndex));
+        case 1 -> pendingAppends.add(readers.get(readerIndex).snapshot("record-" + records++));
+        case 2, 3 -> completeAppend(true);
+        case 4 -> completeAppend(false);
+        case 5 -> transferState(readers.get(readerIndex), readers.get(random.nextInt(READERS)));
+        case 6 -> restartSometimes(readerIndex);
+        default -> read(readers.get(readerIndex));
       }
     }
 
-    /** Notes a revision that went back, and one that stands for two states. */
+    /** Records a violation if a revision decreased or has two states. */
     void observe() {
-      for (int who = 0; who < READERS; who++) {
-        ConfigurationState state = readers.get(who).state();
-        if (state.revision() < highest[who]) {
-          breaches.add("reader " + who + " went back to " + state.revision());
+      for (int readerIndex = 0; readerIndex < READERS; readerIndex++) {
+        ConfigurationState state = readers.get(readerIndex).state();
+        if (state.revision() < lastRevision[readerIndex]) {
+          violations.add("reader " + readerIndex + " went back to revision " + state.revision());
         }
-        highest[who] = state.revision();
+        lastRevision[readerIndex] = state.revision();
         String before = hashOfRevision.putIfAbsent(state.revision(), state.hash());
         if (before != null && !before.equals(state.hash())) {
-          breaches.add("two states of revision " + state.revision());
+          violations.add("two states of revision " + state.revision());
         }
       }
     }
 
     void settle() {
-      while (!onTheWay.isEmpty()) {
-        take(true);
+      while (!pendingAppends.isEmpty()) {
+        completeAppend(true);
       }
       for (ConfigurationReader reader : readers) {
         while (reader.nextOffset() < log.size()) {
           read(reader);
           observe();
         }
-        checkWinners(reader);
+        checkAccepted(reader);
       }
     }
 
-    /** Notes a change that took hold although another had come before it. */
-    private void checkWinners(ConfigurationReader reader) {
+    /** Records a violation if a change was accepted that was not based on the revision before. */
+    private void checkAccepted(ConfigurationReader reader) {
       reader.events().stream()
           .filter(event -> event.result() == ConfigurationEvent.Result.ACCEPTED)
           .filter(event -> event.basedOnRevision() + 1 != event.revision())
-          .forEach(event -> breaches.add("loser took hold: " + event));
+          .forEach(event -> violations.add("conflicting change was accepted: " + event));
     }
 
     private void publish(ConfigurationReader reader) {
       String id = "record-" + records++;
       String site = random.nextBoolean() ? "" : "site-" + random.nextInt(2);
       String text = "{\"value\": " + random.nextInt(1_000) + "}";
-      onTheWay.add(ConfigurationChange.of(id, reader.state(), site, text, "author", Instant.EPOCH));
+      pendingAppends.add(
+          ConfigurationChange.of(id, reader.state(), site, text, "author", Instant.EPOCH));
     }
 
-    private void take(boolean appended) {
-      if (onTheWay.isEmpty()) {
+    private void completeAppend(boolean appended) {
+      if (pendingAppends.isEmpty()) {
         return;
       }
-      int index = random.nextInt(onTheWay.size());
-      boolean comesTwice = appended && random.nextInt(5) == 0;
-      ConfigurationRecord record = comesTwice ? onTheWay.get(index) : onTheWay.remove(index);
+      int index = random.nextInt(pendingAppends.size());
+      boolean duplicated = appended && random.nextInt(5) == 0;
+      ConfigurationRecord record =
+          duplicated ? pendingAppends.get(index) : pendingAppends.remove(index);
       if (appended) {
         log.add(record);
       }
@@ -130,14 +133,14 @@
       }
     }
 
-    private static void copy(ConfigurationReader from, ConfigurationReader to) {
+    private static void transferState(ConfigurationReader from, ConfigurationReader to) {
       to.accept(from.snapshot("copy"));
     }
 
-    private void restartNowAndThen(int who) {
+    private void restartSometimes(int readerIndex) {
       if (random.nextInt(5) == 0) {
-        readers.set(who, emptyReader());
-        highest[who] = 0;
+        readers.set(readerIndex, emptyReader());
+        lastRevision[readerIndex] = 0;
       }
     }
 
--- a/core/src/test/java/dev/ibishub/core/ConfigurationReaderTest.java
+++ b/core/src/test/java/dev/ibishub/core/ConfigurationReaderTest.java
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void smallChangeOfLargeTextIsSmallRecord() {
+  void changeRecordsOnlyTheDifferingText() {
     String text = "x".repeat(100_000);
     ConfigurationState state = ConfigurationState.initial().with("", text + "1}", "a", "a", NOW);
 
@@ -39,12 +39,12 @@
   }
 
   /**
-   * Two operators at two sites publish at once, each on top of revision 0. Whoever's record comes
-   * first on the log wins at every reader; the other is told who won, and its text never takes
-   * hold.
+   * Two operators publish concurrently, each on top of revision 0. The change that is first on the
+   * log is accepted at every reader. The other one is rejected, and its event names the accepted
+   * change.
    */
   @Test
-  void firstOfRacingChangesWinsInEitherOrder() {
+  void acceptsFirstOfConcurrentChangesAndRejectsSecond() {
     ConfigurationChange one = change("one", ConfigurationState.initial(), "{\"a\":1}");
     ConfigurationChange two = change("two", ConfigurationState.initial(), "{\"b\":2}");
     ConfigurationReader other = reader();
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void changeThatDoesNotResultInItsHashIsVoid() {
+  void rejectsChangeThatDoesNotResultInItsHash() {
     ConfigurationChange good = change("good", ConfigurationState.initial(), "{\"a\":1}");
     ConfigurationChange bad =
         new ConfigurationChange("bad", "", 0, good.hash(), "x", NOW, 1, 1, "\"a\":2");
@@ -72,12 +72,12 @@
   }
 
   /**
-   * A process writes a snapshot of revision 1, but its append takes long; revision 2 is accepted
-   * meanwhile. A process that starts after retention has passed both changes meets the slow
-   * snapshot first. Were it to take it, revision 2 would be undone there.
+   * Guards against the loss of an accepted change. The append of a snapshot of revision 1 is slow,
+   * and revision 2 is accepted before it. A process that starts after retention has deleted both
+   * changes reads that snapshot first; if it adopted it, revision 2 would be missing there.
    */
   @Test
-  void slowSnapshotDoesNotUndoTheChangeThatCameBetween() {
+  void ignoresSnapshotAppendedAfterLaterChange() {
     ConfigurationChange one = change("one", ConfigurationState.initial(), "{\"a\":1}");
     applyAll(reader, List.of(one));
     ConfigurationSnapshot slow = reader.snapshot("slow");
@@ -99,12 +99,12 @@
   }
 
   /**
-   * A slow reader at revision 1 finds that retention has taken the record of revision 2. The next
-   * change is based on revision 1 and void, as all others know. Applied to the old state it would
-   * take hold here alone.
+   * Guards against a change that is accepted at one reader only. A slow reader is at revision 1
+   * when retention deletes the record of revision 2. The next change is based on revision 1, so all
+   * other readers reject it; applied to the old state, it would be accepted here.
    */
   @Test
-  void readerThatRetentionOvertookJudgesNothingUntilItKnowsAgain() {
+  void readerWithGapAppliesNoChangeUntilItGetsPeerState() {
     ConfigurationChange one = change("one", ConfigurationState.initial(), "{\"a\":1}");
     ConfigurationReader slow = reader();
     applyAll(slow, List.of(one));
@@ -122,9 +122,9 @@
     assertThat(slow.isAnchored()).isTrue();
   }
 
-  /** A node that starts in an outage of the log has only its peers, one older and one newer. */
+  /** A process that starts during an outage of the log learns the state from its peers alone. */
   @Test
-  void peersInAnyOrderBringTheNewestRevision() {
+  void olderPeerSnapshotDoesNotReplaceNewerOne() {
     applyAll(reader, List.of(change("one", ConfigurationState.initial(), "{\"a\":1}")));
     ConfigurationSnapshot older = reader.snapshot("older");
     reader.apply(1, NOW, Optional.of(change("two", reader.state(), "{\"a\":2}")));
@@ -140,7 +140,7 @@
   }
 
   @Test
-  void damagedTransferChangesNothing() {
+  void ignoresPeerSnapshotWithWrongHash() {
     applyAll(reader, List.of(change("one", ConfigurationState.initial(), "{\"a\":1}")));
     ConfigurationState state = reader.state();
     ConfigurationState damaged =
@@ -154,7 +154,7 @@
   }
 
   @Test
-  void bytesThatAreNoRecordAreSkipped() {
+  void skipsInvalidRecord() {
     reader.apply(0, NOW, Optional.empty());
     reader.apply(1, NOW, Optional.of(change("one", ConfigurationState.initial(), "{\"a\":1}")));
 
@@ -162,7 +162,7 @@
   }
 
   @Test
-  void secondCopyOfAcceptedRecordDoesNotHideTheFirst() {
+  void secondCopyOfAcceptedRecordKeepsFirstEvent() {
     ConfigurationChange one = change("one", ConfigurationState.initial(), "{\"a\":1}");
 
     applyAll(reader, List.of(one, one));
