--- a/core/src/main/java/dev/ibishub/core/ClaimKey.java
+++ b/core/src/main/java/dev/ibishub/core/ClaimKey.java
@@ -3,18 +3,19 @@
 import com.dynatrace.hash4j.hashing.Hashing;
 
 /**
- * What is claimed: workspaces do not see each other's keys.
+ * The key under which a call is claimed. Equal idempotency keys of two workspaces are different
+ * claim keys.
  *
  * @param workspace the caller's workspace
- * @param key the text of its idempotency key
+ * @param key the text of the caller's idempotency key
  */
 public record ClaimKey(String workspace, String key) {
   /**
-   * Returns the stream that this key's claims go to. Were two agents to look at different streams,
-   * both would win, so the hash is one that no release of the JVM changes.
+   * Returns the log stream for the claims of this key. All agents must choose the same stream, or
+   * two of them could win the same key, so the hash does not depend on the release of the JVM.
    *
-   * @param buckets how many streams there are
-   * @return the number of one, from 0
+   * @param buckets number of streams
+   * @return the index of a stream, from 0
    */
   public int bucket(int buckets) {
     long hash = Hashing.xxh3_64().hashStream().putString(workspace).putString(key).getAsLong();
--- a/core/src/main/java/dev/ibishub/core/ClaimLedger.java
+++ b/core/src/main/java/dev/ibishub/core/ClaimLedger.java
@@ -9,16 +9,17 @@
 import java.util.PriorityQueue;
 
 /**
- * Decides which agent runs a call that may run once only: the first claim of a key in the order of
- * the log wins, for every reader alike.
+ * Decides which agent runs a call that must run at most once: the first claim of a key in the order
+ * of the log wins, at every reader.
  *
- * <p>The winner's memory is then the authority: it alone may start the call, and starts it once. A
- * winner that dies leaves the outcome unknown for good, for nobody can tell whether the call began.
- * A winner that is paused between reading its claim back and the start does no harm, as no other
- * process ever starts the call.
+ * <p>Only the winner may start the call, and its memory alone records that it did, so that it
+ * starts the call once. If the winner dies, the outcome stays unknown, as nobody can tell whether
+ * the call began. A winner that is paused between reading its claim back and starting the call does
+ * no harm, as no other process ever starts it.
  *
- * <p>Memory is bounded: over the bound the oldest keys are forgotten, and any unknown key as old as
- * these is refused from then on. The same rule guards against a claim that the log has dropped.
+ * <p>Memory is bounded: over the bound the claims with the oldest keys are evicted, and from then
+ * on an unknown key of that age or older is refused. The same rule covers claims that the log's
+ * retention has deleted.
  *
  * <p>Not thread-safe.
  *
@@ -34,7 +35,9 @@
   private final Map<ClaimKey, ClaimEntry> claims = new HashMap<>();
   private final PriorityQueue<ClaimRecord> oldestFirst =
       new PriorityQueue<>(Comparator.comparing(claim -> claim.key().createdAt()));
-  private Instant horizon = Instant.MIN;
+
+  /** Newest creation time of a key whose claim was evicted or applied after the key's lifetime. */
+  private Instant watermark = Instant.MIN;
 
   private ClaimLedger(ProcessIncarnation self, ClaimLedgerOptions options) {
     this.self = self;
@@ -42,11 +45,11 @@
   }
 
   /**
-   * Creates an empty ledger. All records that the log keeps are to be applied before its first
+   * Creates an empty ledger. All records that the log still has must be applied before the first
    * decision.
    *
-   * @param self this run of this process
-   * @param options its bounds
+   * @param self this process and its incarnation
+   * @param options bounds of the ledger
    * @return the ledger
    */
   public static ClaimLedger create(ProcessIncarnation self, ClaimLedgerOptions options) {
@@ -57,33 +60,34 @@
    * Applies the next record of the log.
    *
    * @param claim the record
-   * @param now the time
+   * @param now the current time
    */
   public void apply(ClaimRecord claim, Instant now) {
-    forgetOldest(now);
-    if (!isAfterHorizon(claim.key())) {
+    evictOldest(now);
+    if (!isAfterWatermark(claim.key())) {
       return;
     }
     if (!isInLifetime(claim.key(), now)) {
-      // Should the clock be set back, a later claim of this key must not look like the first.
-      horizon = claim.key().createdAt();
+      // If the clock is set back, a later claim of this key must not become the first one.
+      watermark = claim.key().createdAt();
       return;
     }
     if (claims.putIfAbsent(claim.claimKey(), new ClaimEntry(claim)) == null) {
       oldestFirst.add(claim);
-      forgetOldest(now);
+      evictOldest(now);
     }
   }
 
   /**
-   * Decides a claim from what was read of the log. A win gives the call to the request's attempt.
+   * Decides a claim from the records applied so far. If the claim is won, the request's attempt is
+   * the one to run the call.
    *
-   * @param request the claim
-   * @param now the time
-   * @return the result, or empty when no record of this key was applied yet
-   * @throws ResultException with {@code MALFORMED_REQUEST} for a key from the future, {@code
-   *     IDEMPOTENCY_KEY_EXPIRED} for one too old to be known, and {@code IDEMPOTENCY_KEY_REUSED}
-   *     for one that was used for another call
+   * @param request the call to be claimed
+   * @param now the current time
+   * @return the result, or empty if no record of this key was applied yet
+   * @throws ResultException with {@code MALFORMED_REQUEST} for a key whose time lies in the future,
+   *     {@code IDEMPOTENCY_KEY_EXPIRED} for an unknown key whose claim may have been evicted or
+   *     deleted, and {@code IDEMPOTENCY_KEY_REUSED} for a key that was used for another call
    */
   public Optional<ClaimResult> tryClaim(ClaimRequest request, Instant now) {
     if (request.key().createdAt().isAfter(now.plus(options.clockSkew()))) {
@@ -94,7 +98,7 @@
     if (entry != null) {
       return Optional.of(entry.decide(self, request));
     }
-    if (!isInLifetime(request.key(), now) || !isAfterHorizon(request.key())) {
+    if (!isInLifetime(request.key(), now) || !isAfterWatermark(request.key())) {
       throw new ResultException(
           ResultCode.IDEMPOTENCY_KEY_EXPIRED,
           "Idempotency-Key: made at " + request.key().createdAt() + ", too long ago to be known");
@@ -103,7 +107,8 @@
   }
 
   /**
-   * Gives a won call back that was surely not started, so that the next attempt here may win it.
+   * Gives back a won call that was definitely not started, so that a later attempt of this process
+   * can win it.
    *
    * @param key the key of the call
    * @param attemptId the attempt that had won it
@@ -113,7 +118,7 @@
   }
 
   /**
-   * Notes that the answer of a won call is whole or given up.
+   * Notes that a won call ended: its answer is complete or was given up.
    *
    * @param key the key of the call
    * @param attemptId the attempt that ran it
@@ -122,11 +127,7 @@
     find(key).ifPresent(entry -> entry.finished(attemptId));
   }
 
-  /**
-   * Returns how many claims are kept.
-   *
-   * @return the count
-   */
+  /** Returns the number of claims in memory. */
   public int size() {
     return claims.size();
   }
@@ -139,20 +140,20 @@
     return now.isBefore(key.createdAt().plus(options.keyLifetime()));
   }
 
-  private boolean isAfterHorizon(IdempotencyKey key) {
-    return key.createdAt().isAfter(horizon);
+  private boolean isAfterWatermark(IdempotencyKey key) {
+    return key.createdAt().isAfter(watermark);
   }
 
-  private void forgetOldest(Instant now) {
-    while (!oldestFirst.isEmpty() && mayForget(oldestFirst.peek(), now)) {
+  private void evictOldest(Instant now) {
+    while (!oldestFirst.isEmpty() && mayEvict(oldestFirst.peek(), now)) {
       ClaimRecord oldest = oldestFirst.poll();
       claims.remove(oldest.claimKey());
-      // A clock that is set back must not bring the forgotten key's time back into its lifetime.
-      horizon = oldest.key().createdAt();
+      // If the clock is set back, the evicted key must not count as within its lifetime again.
+      watermark = oldest.key().createdAt();
     }
   }
 
-  private boolean mayForget(ClaimRecord claim, Instant now) {
+  private boolean mayEvict(ClaimRecord claim, Instant now) {
     return claims.size() > options.maximumClaims() || !isInLifetime(claim.key(), now);
   }
 }
--- a/core/src/main/java/dev/ibishub/core/ClaimLedgerOptions.java
+++ b/core/src/main/java/dev/ibishub/core/ClaimLedgerOptions.java
@@ -5,23 +5,23 @@
 /**
  * Bounds of a {@link ClaimLedger}.
  *
- * @param keyLifetime for how long after a key was made it may be used
+ * @param keyLifetime for how long a key may be used after its creation
  * @param logRetention for how long the log service keeps a record
- * @param clockSkew the most that the clocks of caller, agent and log service differ
+ * @param clockSkew bound on the difference between the clocks of caller, agent and log service
  * @param maximumClaims the most claims kept in memory
  */
 public record ClaimLedgerOptions(
     Duration keyLifetime, Duration logRetention, Duration clockSkew, int maximumClaims) {
-  private static final int CLOCKS_THAT_MAY_DIFFER = 3;
+  private static final int SKEWED_CLOCKS = 3;
 
   /**
-   * Checks that a key is refused before the log can have dropped its claim. The claim is written
-   * after the key was made, so it is kept for the log's retention from then on; the clocks of the
-   * caller that made the key, of the agent that took it and of the one that is asked again may each
-   * be off.
+   * Checks that a key is refused before the log can delete its claim. A claim is appended after its
+   * key was created and is kept for the log's retention from then on. The clocks of the caller that
+   * created the key, of the agent that claimed it and of the agent that gets it again may each be
+   * off by the skew.
    */
   public ClaimLedgerOptions {
-    Duration needed = keyLifetime.plus(clockSkew.multipliedBy(CLOCKS_THAT_MAY_DIFFER));
+    Duration needed = keyLifetime.plus(clockSkew.multipliedBy(SKEWED_CLOCKS));
     if (needed.compareTo(logRetention) > 0) {
       throw new IllegalArgumentException(
           "logRetention " + logRetention + " is shorter than keyLifetime and skew: " + needed);
@@ -31,7 +31,9 @@
     }
   }
 
-  /** Returns 1 hour of lifetime, 2 hours of retention, 5 seconds of skew and 200,000 claims. */
+  /**
+   * Returns a lifetime of 1 hour, a retention of 2 hours, a skew of 5 seconds and 200,000 claims.
+   */
   public static ClaimLedgerOptions defaults() {
     return new ClaimLedgerOptions(
         Duration.ofHours(1), Duration.ofHours(2), Duration.ofSeconds(5), 200_000);
--- a/core/src/main/java/dev/ibishub/core/ClaimRecord.java
+++ b/core/src/main/java/dev/ibishub/core/ClaimRecord.java
@@ -1,20 +1,16 @@
 package dev.ibishub.core;
 
 /**
- * One claim as it stands on the log.
+ * A claim as a record of the log.
  *
- * @param owner the agent that wants to run the call
+ * @param owner the agent that claims the call
  * @param workspace the caller's workspace
  * @param key the caller's idempotency key
- * @param fingerprint of the call, see {@link ClaimRequest}
+ * @param fingerprint hash of the call, see {@link ClaimRequest#fingerprintOf}
  */
 public record ClaimRecord(
     ProcessIncarnation owner, String workspace, IdempotencyKey key, long fingerprint) {
-  /**
-   * Returns what is claimed.
-   *
-   * @return the workspace and the key's text
-   */
+  /** Returns the key under which the call is claimed. */
   public ClaimKey claimKey() {
     return new ClaimKey(workspace, key.text());
   }
--- a/core/src/main/java/dev/ibishub/core/ClaimResult.java
+++ b/core/src/main/java/dev/ibishub/core/ClaimResult.java
@@ -1,30 +1,30 @@
 package dev.ibishub.core;
 
-/** What became of a claim. */
+/** The result of a claim. */
 public sealed interface ClaimResult {
-  /** The call is this attempt's to run, and no other's. */
+  /** The claim was won: this attempt, and no other, runs the call. */
   record Won() implements ClaimResult {}
 
   /**
-   * The call runs here already; its answer may be joined.
+   * The call is already running in this process; a caller may join its answer.
    *
    * @param attemptId the attempt that runs it
    */
   record RunningHere(String attemptId) implements ClaimResult {}
 
   /**
-   * The call ran here to its end. Its answer is in the buffer of that attempt; if the buffer is
-   * gone the caller is told {@code ANSWER_NO_LONGER_KEPT}.
+   * The call ended in this process. Its answer is in the buffer of the attempt that ran it; if that
+   * buffer is gone, the caller gets {@code ANSWER_NO_LONGER_KEPT}.
    *
    * @param attemptId the attempt that ran it
    */
   record Kept(String attemptId) implements ClaimResult {}
 
   /**
-   * Another process, or an earlier run of this one, claimed the call first. Only that one can say
-   * more: if it is gone, the outcome is unknown for good.
+   * Another process, or an earlier incarnation of this one, claimed the call first. Only the holder
+   * knows the outcome: if it is gone, the outcome stays unknown.
    *
-   * @param holder who claimed it
+   * @param holder the process that claimed the call
    */
   record HeldBy(ProcessIncarnation holder) implements ClaimResult {}
 }
--- a/core/src/main/java/dev/ibishub/core/internal/requests/ClaimEntry.java
+++ b/core/src/main/java/dev/ibishub/core/internal/requests/ClaimEntry.java
@@ -7,7 +7,7 @@
 import dev.ibishub.core.ResultCode;
 import dev.ibishub.core.ResultException;
 
-/** The winning claim of one key, and what its owner did with it. Not thread-safe. */
+/** The winning claim of one key, and the state of its call at the owner. Not thread-safe. */
 public final class ClaimEntry {
   private enum State {
     IDLE,
@@ -21,16 +21,25 @@
   private String attemptId;
 
   /**
-   * Creates the entry of a claim that nobody has started.
+   * Creates the entry of a claim whose call has not started.
    *
-   * @param claim the record that won
+   * @param claim the winning record
    */
   public ClaimEntry(ClaimRecord claim) {
     this.owner = claim.owner();
     this.fingerprint = claim.fingerprint();
   }
 
-  /** Decides a claim; one that meets an idle call of this process gets it. */
+  /**
+   * Decides a claim. A claim of an idle call that this process owns wins, and its attempt runs the
+   * call.
+   *
+   * @param self this process and its incarnation
+   * @param request the call to be claimed
+   * @return the result
+   * @throws ResultException with {@code IDEMPOTENCY_KEY_REUSED} if the key was used for another
+   *     call
+   */
   public ClaimResult decide(ProcessIncarnation self, ClaimRequest request) {
     if (request.fingerprint() != fingerprint) {
       throw new ResultException(
@@ -50,14 +59,14 @@
     };
   }
 
-  /** Gives the call back if this attempt has it and did not start it. */
+  /** Makes the call idle again if it was won by this attempt, which did not start it. */
   public void notStarted(String attempt) {
     if (state == State.RUNNING && attempt.equals(attemptId)) {
       state = State.IDLE;
     }
   }
 
-  /** Notes that this attempt is over. */
+  /** Notes that the call ended, if it was won by this attempt. */
   public void finished(String attempt) {
     if (state == State.RUNNING && attempt.equals(attemptId)) {
       state = State.FINISHED;
--- a/core/src/test/java/dev/ibishub/core/ClaimLedgerTest.java
+++ b/core/src/test/java/dev/ibishub/core/ClaimLedgerTest.java
@@ -21,14 +21,14 @@
   private final ClaimLedger ledger = ClaimLedger.create(SELF, OPTIONS);
 
   @Test
-  void unknownKeyNeedsARecord() {
+  void returnsNoResultForKeyWithoutRecord() {
     assertThat(ledger.tryClaim(request(KEY, "a"), NOW)).isEmpty();
   }
 
   @Test
-  void firstClaimInTheOrderOfTheLogWins() {
-    // An incentive is posted twice: the panelist's phone sent it to two entries, whose agents both
-    // claimed the key; each saw its own claim on the log.
+  void firstClaimOnLogWinsAtEveryReader() {
+    // Guards against a call that runs twice: a caller sent it to two entries, their agents both
+    // claimed the key, and each agent finds its own claim on the log.
     ClaimLedger other = ClaimLedger.create(OTHER, OPTIONS);
     for (ProcessIncarnation owner : new ProcessIncarnation[] {OTHER, SELF}) {
       ledger.apply(record(owner, KEY), NOW);
@@ -40,30 +40,30 @@
   }
 
   @Test
-  void callIsWonOnceAndThenJoinedOrKept() {
+  void callIsWonOnceThenReportedAsRunningAndThenAsEnded() {
     ledger.apply(record(SELF, KEY), NOW);
 
     assertThat(ledger.tryClaim(request(KEY, "a"), NOW)).contains(new ClaimResult.Won());
     assertThat(ledger.tryClaim(request(KEY, "b"), NOW)).contains(new ClaimResult.RunningHere("a"));
-    ledger.finished(KEY_OF_CLAIM, "a");
+    ledger.finished(CLAIM_KEY, "a");
     assertThat(ledger.tryClaim(request(KEY, "c"), NOW)).contains(new ClaimResult.Kept("a"));
   }
 
   @Test
-  void callThatWasNotStartedMayBeWonAgainHere() {
+  void callThatWasNotStartedCanBeWonAgain() {
     ledger.apply(record(SELF, KEY), NOW);
     ledger.tryClaim(request(KEY, "a"), NOW);
-    ledger.notStarted(KEY_OF_CLAIM, "a");
+    ledger.notStarted(CLAIM_KEY, "a");
 
     assertThat(ledger.tryClaim(request(KEY, "b"), NOW)).contains(new ClaimResult.Won());
-    ledger.notStarted(KEY_OF_CLAIM, "a");
+    ledger.notStarted(CLAIM_KEY, "a");
     assertThat(ledger.tryClaim(request(KEY, "c"), NOW)).contains(new ClaimResult.RunningHere("b"));
   }
 
   @Test
-  void claimOfAnEarlierRunOfThisProcessIsNotItsOwn() {
-    // An incentive is posted twice: the agent died in the call, came back, and took the claim on
-    // the log for its own.
+  void claimOfEarlierIncarnationIsHeldByThatIncarnation() {
+    // Guards against a call that runs twice: the agent crashed during the call, restarted, and
+    // finds the claim of its earlier incarnation on the log.
     ProcessIncarnation before = new ProcessIncarnation("agent-1", 0);
     ledger.apply(record(before, KEY), NOW);
 
@@ -71,7 +71,7 @@
   }
 
   @Test
-  void keyOfAnotherWorkspaceIsAnotherKey() {
+  void equalKeyOfAnotherWorkspaceIsAnotherClaim() {
     ledger.apply(record(OTHER, KEY), NOW);
     ClaimRequest request = new ClaimRequest("elsewhere", KEY, 1, "a", NOW.plusSeconds(1));
 
@@ -88,8 +88,8 @@
 
   @Test
   void keyOlderThanItsLifetimeIsRefused() {
-    // An incentive is posted twice: a phone was off for a day and sent its request again, when the
-    // log had long dropped the claim of the first try.
+    // Guards against a call that runs twice: a caller was offline for a day and repeats its request
+    // after the log's retention has deleted the claim of the first try.
     Instant late = NOW.plus(LIFETIME);
 
     assertRefused(
@@ -98,14 +98,14 @@
 
   @Test
   void keyFromTheFutureIsRefused() {
-    // Such a key would outlive its claim on the log.
+    // Such a key would still be valid after the log has deleted its claim.
     IdempotencyKey future = key(NOW.plusSeconds(6), "k");
 
     assertRefused(ResultCode.MALFORMED_REQUEST, () -> ledger.tryClaim(request(future, "a"), NOW));
   }
 
   @Test
-  void claimAppliedWhenItsKeyWasTooOldDecidesNothing() {
+  void claimAppliedAfterKeyLifetimeIsIgnored() {
     Instant late = NOW.plus(LIFETIME);
     ledger.apply(record(SELF, KEY), late);
 
@@ -114,9 +114,10 @@
   }
 
   @Test
-  void clockSetBackDoesNotReviveAKey() {
-    // Two agents run one call: this one's clock was ahead, so it passed over the other's claim as
-    // too old; then the clock was set right and its own later claim looked like the first.
+  void keyStaysExpiredWhenClockIsSetBack() {
+    // Guards against a call that runs at two agents: this agent's clock is ahead, so it skips the
+    // other agent's claim as too old; after the clock is corrected, its own later claim must not
+    // count as the first.
     ledger.apply(record(OTHER, KEY), NOW.plus(LIFETIME));
     ledger.apply(record(SELF, KEY), NOW);
 
@@ -125,24 +126,25 @@
   }
 
   @Test
-  void forgottenClaimsAreRefusedAndNotRunAgain() {
-    // Under a flood of keys memory stays bounded; what was forgotten must not look new.
+  void keyOfEvictedClaimIsRefused() {
+    // Memory stays bounded under a flood of keys, and a key whose claim was evicted must not count
+    // as new, or its call would run twice.
     for (int second = 0; second < 10; second++) {
       ledger.apply(record(OTHER, key(NOW.plusSeconds(second), "k" + second)), NOW);
     }
 
     assertThat(ledger.size()).isEqualTo(3);
-    IdempotencyKey forgotten = key(NOW.plusSeconds(2), "k2");
+    IdempotencyKey evicted = key(NOW.plusSeconds(2), "k2");
     assertRefused(
         ResultCode.IDEMPOTENCY_KEY_EXPIRED,
-        () -> ledger.tryClaim(request(forgotten, "a"), NOW.plusSeconds(2)));
+        () -> ledger.tryClaim(request(evicted, "a"), NOW.plusSeconds(2)));
     IdempotencyKey kept = key(NOW.plusSeconds(9), "k9");
     Optional<ClaimResult> known = ledger.tryClaim(request(kept, "a"), NOW.plusSeconds(9));
     assertThat(known).contains(new ClaimResult.HeldBy(OTHER));
   }
 
   @Test
-  void retentionMustOutlastEveryKey() {
+  void optionsRejectRetentionShorterThanKeyLifetimeAndSkew() {
     assertThatThrownBy(
             () ->
                 new ClaimLedgerOptions(
@@ -150,7 +152,7 @@
         .isInstanceOf(IllegalArgumentException.class);
   }
 
-  private static final ClaimKey KEY_OF_CLAIM = new ClaimKey("w", KEY.text());
+  private static final ClaimKey CLAIM_KEY = new ClaimKey("w", KEY.text());
 
   private static IdempotencyKey key(Instant time, String name) {
     return IdempotencyKey.parse(time + "/" + name);
