--- a/core/src/test/java/dev/ibishub/core/IdempotencyKeyTest.java
+++ b/core/src/test/java/dev/ibishub/core/IdempotencyKeyTest.java
@@ -10,7 +10,7 @@
 
 class IdempotencyKeyTest {
   @Test
-  void uuidOfVersionSevenCarriesItsTime() {
+  void parsesTimeOfUuidVersionSeven() {
     // The example of RFC 9562, appendix A.6.
     IdempotencyKey key = IdempotencyKey.parse("017F22E2-79B0-7CC3-98C4-DC0C0C07398F");
 
@@ -18,7 +18,7 @@
   }
 
   @Test
-  void namedKeyCarriesItsTimeBeforeTheSlash() {
+  void parsesTimeBeforeSlash() {
     IdempotencyKey key = IdempotencyKey.parse("2026-01-31T08:00:00Z/incentive/17");
 
     assertThat(key.createdAt()).isEqualTo(Instant.parse("2026-01-31T08:00:00Z"));
@@ -36,7 +36,7 @@
         "1969-12-31T23:59:59Z/x",
         "9c5b94b1-35ad-49bb-b118-8e8fc24abf80"
       })
-  void keyWithoutAUsableTimeIsRefused(String text) {
+  void refusesKeyWithoutValidTime(String text) {
     assertThatThrownBy(() -> IdempotencyKey.parse(text))
         .isInstanceOfSatisfying(
             ResultException.class,
