--- a/core/src/main/java/dev/ibishub/core/MemberRecord.java
+++ b/core/src/main/java/dev/ibishub/core/MemberRecord.java
@@ -4,17 +4,17 @@
 import java.util.Objects;
 
 /**
- * What one process believes of another, as processes pass it on.
+ * A process and its state as another process sees it, exchanged between processes in digests.
  *
- * @param id of the process
- * @param role of the process
- * @param zone failure domain
- * @param host an IP number
- * @param port on which it speaks the project's own protocol
- * @param callerUrl where callers reach it; empty for an agent
- * @param incarnation drawn anew at each start of the process and larger each time; 0 if not known
- * @param refutation raised by the process itself to refute a suspicion
- * @param state what is believed
+ * @param id id of the process
+ * @param role kind of the process
+ * @param zone failure domain of the process
+ * @param host its IP address
+ * @param port the port on which it speaks the project's own protocol
+ * @param callerUrl URL at which callers reach it; empty for an agent, or if not known
+ * @param incarnation a larger number for each start of the process; 0 if not known
+ * @param refutation number that the process itself raises to refute a suspicion
+ * @param state its state
  * @param load how busy an entry is, 0 when idle
  */
 public record MemberRecord(
@@ -33,7 +33,7 @@
           .thenComparingLong(MemberRecord::refutation)
           .thenComparing(MemberRecord::state);
 
-  /** Checks that the fields are given. */
+  /** Checks that no component is null. */
   public MemberRecord {
     Objects.requireNonNull(id, "id");
     Objects.requireNonNull(role, "role");
@@ -43,34 +43,37 @@
     Objects.requireNonNull(state, "state");
   }
 
-  /** Whether this record is newer knowledge of the same process than the other. */
+  /**
+   * Tells whether this record takes precedence over another one of the same process: by
+   * incarnation, then by refutation, then by state.
+   */
   public boolean supersedes(MemberRecord other) {
     return PRECEDENCE.compare(this, other) > 0;
   }
 
-  /** The same process in another state. */
+  /** Returns this record with another state. */
   public MemberRecord withState(MemberState newState) {
     return new MemberRecord(
         id, role, zone, host, port, callerUrl, incarnation, refutation, newState, load);
   }
 
-  /** The same process under another incarnation or refutation. */
-  public MemberRecord withNumbers(long newIncarnation, long newRefutation) {
+  /** Returns this record with another incarnation and refutation. */
+  public MemberRecord withIncarnation(long newIncarnation, long newRefutation) {
     return new MemberRecord(
         id, role, zone, host, port, callerUrl, newIncarnation, newRefutation, state, load);
   }
 
-  /** The same process with another load. */
+  /** Returns this record with another load. */
   public MemberRecord withLoad(int newLoad) {
     return new MemberRecord(
         id, role, zone, host, port, callerUrl, incarnation, refutation, state, newLoad);
   }
 
   /**
-   * The same process with the load of another record of it, and with that one's address for callers
-   * where this one, made from the platform's list, has none.
+   * Returns this record with the load of another record of the same process, and with that record's
+   * URL for callers if this one has none because it was made from the platform's list.
    */
-  public MemberRecord completedBy(MemberRecord other) {
+  public MemberRecord withLoadAndUrlFrom(MemberRecord other) {
     String url = callerUrl.isEmpty() ? other.callerUrl : callerUrl;
     return new MemberRecord(
         id, role, zone, host, port, url, incarnation, refutation, state, other.load);
--- a/core/src/main/java/dev/ibishub/core/MemberRole.java
+++ b/core/src/main/java/dev/ibishub/core/MemberRole.java
@@ -1,7 +1,9 @@
 package dev.ibishub.core;
 
-/** What a process does. */
+/** The kind of an ibishub process. */
 public enum MemberRole {
+  /** Serves callers. */
   ENTRY,
+  /** Runs beside one target. */
   AGENT
 }
--- a/core/src/main/java/dev/ibishub/core/Membership.java
+++ b/core/src/main/java/dev/ibishub/core/Membership.java
@@ -1,7 +1,7 @@
 package dev.ibishub.core;
 
 import com.dynatrace.hash4j.hashing.Hashing;
-import dev.ibishub.core.internal.membership.Known;
+import dev.ibishub.core.internal.membership.ObservedMember;
 import dev.ibishub.core.internal.routing.Seconds;
 import java.time.Instant;
 import java.util.Collection;
@@ -16,32 +16,42 @@
 import java.util.stream.Stream;
 
 /**
- * Which processes there are and which of them can be relied on, as one process sees it. It is fed
- * by the platform's list of VMs, which lags and is only a hint, by its own probes and by the
- * digests of peers. A process that misses probes becomes suspect, and dead unless it refutes the
- * suspicion, which it does by raising its refutation number; a record with a higher incarnation or
- * refutation wins over all older ones, in whatever order they come. Thread-safe by one lock.
+ * One process's view of the other processes and their states, kept by gossip and probes. Its inputs
+ * are the platform's list of VMs, which lags and is only a hint, this process's own probes, and the
+ * digests of peers. A process that misses probes becomes suspect, and then dead unless it refutes
+ * the suspicion by raising its refutation number. A record with a higher incarnation or refutation
+ * takes precedence over all older ones, in whatever order they arrive. Thread-safe: guarded by one
+ * lock.
+ *
+ * <p>Used behind ibishub's own interface; its counterpart on the platform of its users is {@link
+ * dev.ibishub.core.entries.EntryRoster}.
  *
  * <pre>{@code
  * membership.listed(records, now);
- * membership.heard(id, incarnation, now);      // it answered a probe
- * membership.missed(id, now);                  // it did not
+ * membership.heard(id, incarnation, now);      // the process answered a probe
+ * membership.missed(id, now);                  // the process did not answer in time
  * membership.merge(peerDigest, now);
  * send(membership.digest(now));
  * }</pre>
  */
 public final class Membership {
-  private static final double NEWS_SECONDS = 5;
-  private static final double HEARD_LATELY_SECONDS = 1;
-  private static final int SUSPICIONS_APART = 5;
-  private static final double ADVANCE_SECONDS = 0.1;
+  /** How long after a change a record has priority in digests. */
+  private static final double RECENT_CHANGE_SECONDS = 5;
+
+  /** How long after a member was heard directly the suspicions of peers are ignored. */
+  private static final double RECENTLY_HEARD_SECONDS = 1;
+
+  /** After a refutation, a member is not suspected again for this many suspicion times. */
+  private static final int REFUTATION_GRACE_FACTOR = 5;
+
+  private static final double EXPIRY_INTERVAL_SECONDS = 0.1;
 
   private final MembershipOptions options;
-  private final Map<String, Known> members = new TreeMap<>();
+  private final Map<String, ObservedMember> members = new TreeMap<>();
   private MemberRecord self;
   private Optional<Instant> leavingSince = Optional.empty();
-  private Optional<List<MemberRecord>> links = Optional.empty();
-  private Instant advancedAt = Instant.EPOCH;
+  private Optional<List<MemberRecord>> chosenLinks = Optional.empty();
+  private Instant lastExpiryAt = Instant.EPOCH;
 
   private Membership(MemberRecord self, MembershipOptions options) {
     this.self = self.withState(MemberState.ALIVE);
@@ -52,109 +62,113 @@
    * Creates the view of a process that knows only itself.
    *
    * @param self this process, with its incarnation
-   * @param options how to judge
+   * @param options options of failure detection and links
    */
   public static Membership create(MemberRecord self, MembershipOptions options) {
     return new Membership(self, options);
   }
 
   /**
-   * Takes the platform's list. The list lags both ways, so it adds and marks members but never
-   * kills one: a process that is heard is there, whatever the list says.
+   * Applies the platform's list of VMs. The list lags for new and for removed processes, so it adds
+   * members and marks them as leaving but never as dead: a process that is heard stays a member,
+   * whatever the list says.
    *
-   * @param records what the list names, with incarnation 0 and state alive or leaving
+   * @param records the listed processes, with incarnation 0 and state alive or leaving
    * @param now the current time
    */
   public synchronized void listed(List<MemberRecord> records, Instant now) {
     Set<String> named = records.stream().map(MemberRecord::id).collect(Collectors.toSet());
     List.copyOf(members.values()).stream()
         .filter(known -> known.listed() != named.contains(known.record().id()))
-        .forEach(known -> put(known.record().id(), known.listed(!known.listed())));
-    records.stream().filter(this::isOther).forEach(record -> takeListed(record, now));
-    advance(now);
+        .forEach(known -> put(known.record().id(), known.withListed(!known.listed())));
+    records.stream().filter(this::isOther).forEach(record -> applyListed(record, now));
+    expire(now);
   }
 
   /**
-   * Notes that a process was heard on a direct link.
+   * Notes that a process was heard on a direct link. A process that is not a member is ignored.
    *
-   * @param id of the process
-   * @param incarnation that it gave
+   * @param id id of the process
+   * @param incarnation the incarnation that it reported
    * @param now the current time
    */
   public synchronized void heard(String id, long incarnation, Instant now) {
-    Known known = members.get(id);
+    ObservedMember known = members.get(id);
     if (known == null || incarnation < known.record().incarnation()) {
       return;
     }
     MemberRecord record = known.record();
     boolean restarted = incarnation > record.incarnation();
-    MemberRecord numbered = restarted ? record.withNumbers(incarnation, 0) : record;
-    // A listed leaving process that has never been heard may yet be one that was replaced.
+    MemberRecord current = restarted ? record.withIncarnation(incarnation, 0) : record;
+    // A process that is listed as leaving and was never heard may have been replaced meanwhile.
     boolean staysLeaving = !restarted && record.state() == MemberState.LEAVING;
-    MemberRecord alive = staysLeaving ? numbered : numbered.withState(MemberState.ALIVE);
-    put(id, known.with(alive, now).heard(now));
-    advance(now);
+    MemberRecord alive = staysLeaving ? current : current.withState(MemberState.ALIVE);
+    put(id, known.withRecord(alive, now).withHeard(now));
+    expire(now);
   }
 
   /**
    * Notes that a process did not answer a probe in time.
    *
-   * @param id of the process
+   * @param id id of the process
    * @param now the current time
    */
   public synchronized void missed(String id, Instant now) {
-    Known known = members.get(id);
+    ObservedMember known = members.get(id);
     if (known == null) {
       return;
     }
-    Known missed = known.missed();
-    // Whoever refutes is alive, though this process may not hear it: to suspect it again at once
-    // would spread a false suspicion for as long as a link is cut in one direction.
-    boolean refutedLately =
-        Seconds.between(known.refutedAt(), now) < SUSPICIONS_APART * options.suspicionSeconds();
+    ObservedMember missed = known.withMissedProbe();
+    // A member that refuted is alive, even if this process cannot hear it. Suspecting it again at
+    // once would spread a false suspicion for as long as a link is cut in one direction.
+    boolean refutedRecently =
+        Seconds.between(known.refutedAt(), now)
+            < REFUTATION_GRACE_FACTOR * options.suspicionSeconds();
     boolean suspect =
-        missed.misses() >= options.missesToSuspect()
+        missed.missedProbes() >= options.missedProbesToSuspect()
             && known.record().state() == MemberState.ALIVE
-            && !refutedLately;
-    put(id, suspect ? missed.with(missed.record().withState(MemberState.SUSPECT), now) : missed);
-    advance(now);
+            && !refutedRecently;
+    put(
+        id,
+        suspect ? missed.withRecord(missed.record().withState(MemberState.SUSPECT), now) : missed);
+    expire(now);
   }
 
   /**
-   * Takes a peer's digest. Older knowledge changes nothing, so digests may come late, twice and in
-   * any order. A suspicion of this very process is refuted.
+   * Merges a peer's digest. Older records are ignored, so digests may arrive late, repeatedly and
+   * in any order. A suspicion of this process itself is refuted.
    *
    * @param digest the peer's records
    * @param now the current time
    */
   public synchronized void merge(Collection<MemberRecord> digest, Instant now) {
-    digest.forEach(record -> mergeOne(record, now));
-    advance(now);
+    digest.forEach(record -> mergeRecord(record, now));
+    expire(now);
   }
 
   /**
-   * Notes that a process is leaving, by its own word or an operator's. For this very process the
-   * news goes out with a raised refutation number, so that it wins over older records.
+   * Notes that a process is leaving, by its own report or an operator's. For this process itself
+   * the refutation number is raised, so that the new state takes precedence over older records.
    *
-   * @param id of the process
+   * @param id id of the process
    * @param now the current time
    */
   public synchronized void leaving(String id, Instant now) {
     if (id.equals(self.id())) {
       self =
           self.withState(MemberState.LEAVING)
-              .withNumbers(self.incarnation(), self.refutation() + 1);
+              .withIncarnation(self.incarnation(), self.refutation() + 1);
       leavingSince = leavingSince.or(() -> Optional.of(now));
       return;
     }
-    Known known = members.get(id);
+    ObservedMember known = members.get(id);
     if (known != null) {
-      put(id, known.with(known.record().withState(MemberState.LEAVING), now));
+      put(id, known.withRecord(known.record().withState(MemberState.LEAVING), now));
     }
   }
 
   /**
-   * Sets how busy this process is.
+   * Sets the load of this process.
    *
    * @param load 0 when idle
    */
@@ -162,67 +176,71 @@
     self = self.withLoad(load);
   }
 
-  /** This process as it tells others. */
+  /** Returns the record of this process, as sent to others. */
   public synchronized MemberRecord self() {
     return self;
   }
 
-  /** When this process began to leave. */
+  /** Returns when this process began to leave; empty if it is not leaving. */
   public synchronized Optional<Instant> leavingSince() {
     return leavingSince;
   }
 
   /**
-   * What to tell peers: this process, what changed lately, and a part of the rest that moves on
-   * with time, so that all is told in the end within a bound for each message.
+   * Returns the records to send to peers: this process, then recent changes, then a part of the
+   * rest that rotates with time, so that every record is sent eventually although each digest is
+   * bounded.
    *
    * @param now the current time
-   * @return at most as many records as the options say
+   * @return at most {@link MembershipOptions#maximumDigestRecords} records
    */
   public synchronized List<MemberRecord> digest(Instant now) {
-    List<Known> all = List.copyOf(members.values());
-    Stream<Known> news =
+    List<ObservedMember> all = List.copyOf(members.values());
+    Stream<ObservedMember> recentChanges =
         all.stream()
-            .filter(known -> Seconds.between(known.changedAt(), now) <= NEWS_SECONDS)
-            .sorted(Comparator.comparing(Known::changedAt).reversed());
-    int offset = all.isEmpty() ? 0 : (int) Math.floorMod(turn(now), (long) all.size());
-    Stream<Known> rest = Stream.concat(all.stream().skip(offset), all.stream().limit(offset));
+            .filter(known -> Seconds.between(known.changedAt(), now) <= RECENT_CHANGE_SECONDS)
+            .sorted(Comparator.comparing(ObservedMember::changedAt).reversed());
+    int offset = all.isEmpty() ? 0 : (int) Math.floorMod(rotation(now), (long) all.size());
+    Stream<ObservedMember> rest =
+        Stream.concat(all.stream().skip(offset), all.stream().limit(offset));
     Stream<MemberRecord> others =
-        Stream.concat(news, rest)
-            .map(Known::record)
+        Stream.concat(recentChanges, rest)
+            .map(ObservedMember::record)
             .filter(record -> record.incarnation() > 0)
             .distinct();
-    return Stream.concat(Stream.of(self), others).limit(options.digestRecords()).toList();
+    return Stream.concat(Stream.of(self), others).limit(options.maximumDigestRecords()).toList();
   }
 
-  /** Entries other than this process that are alive and not leaving. */
+  /** Returns the entries other than this process that are alive and not leaving. */
   public synchronized List<MemberRecord> liveEntries() {
-    return withState(record -> record.role() == MemberRole.ENTRY).map(Known::record).toList();
+    return aliveMembers(record -> record.role() == MemberRole.ENTRY)
+        .map(ObservedMember::record)
+        .toList();
   }
 
-  /** What is known of a process, if anything. */
+  /** Returns the newest record of another process, if it is a member. */
   public synchronized Optional<MemberRecord> member(String id) {
-    return Optional.ofNullable(members.get(id)).map(Known::record);
+    return Optional.ofNullable(members.get(id)).map(ObservedMember::record);
   }
 
-  /** When a process itself was last heard; empty if never. */
+  /** Returns when a process was last heard on a direct link; empty if never. */
   public synchronized Optional<Instant> heardAt(String id) {
     return Optional.ofNullable(members.get(id))
-        .map(Known::heardAt)
+        .map(ObservedMember::heardAt)
         .filter(heard -> !heard.equals(Instant.EPOCH));
   }
 
   /**
-   * The processes that this one should keep links to: by rendezvous a part of the targets of its
-   * own failure domain and a few outside, and some entries; all of them where there are few. Dead
-   * ones are among them as long as the list names them, or else a cut that has healed would never
-   * be noticed.
+   * Returns the processes that this one should keep links to: bounded numbers of targets in its own
+   * failure domain, of targets in others and of entries, chosen by rendezvous hashing. A dead
+   * process is included as long as it is listed, as otherwise the end of a partition would go
+   * unnoticed.
    *
-   * @return the processes, in no given order
+   * @return the processes, in no particular order
    */
   public synchronized List<MemberRecord> connectTo() {
-    List<MemberRecord> known = links.orElseGet(this::chooseLinks);
-    links = Optional.of(known);
+    List<MemberRecord> known = chosenLinks.orElseGet(this::chooseLinks);
+    chosenLinks = Optional.of(known);
     return known;
   }
 
@@ -233,7 +251,7 @@
             record -> record.role() == MemberRole.AGENT && record.zone().equals(self.zone()));
     Stream<MemberRecord> outside =
         closest(
-            options.targetsOutside(),
+            options.targetsOutsideZone(),
             record -> record.role() == MemberRole.AGENT && !record.zone().equals(self.zone()));
     Stream<MemberRecord> entries =
         closest(options.peers(), record -> record.role() == MemberRole.ENTRY);
@@ -244,12 +262,12 @@
     long own = hash(self.id());
     return members.values().stream()
         .filter(known -> known.listed() || known.record().state() != MemberState.DEAD)
-        .map(Known::record)
+        .map(ObservedMember::record)
         .filter(filter)
-        .map(record -> new Scored(score(own, record.id()), record))
-        .sorted(Comparator.comparingLong(Scored::score))
+        .map(record -> new ScoredRecord(score(own, record.id()), record))
+        .sorted(Comparator.comparingLong(ScoredRecord::score))
         .limit(count)
-        .map(Scored::record);
+        .map(ScoredRecord::record);
   }
 
   private static long score(long own, String id) {
@@ -260,7 +278,7 @@
     return Hashing.komihash5_0().hashCharsToLong(id);
   }
 
-  private Stream<Known> withState(Predicate<MemberRecord> filter) {
+  private Stream<ObservedMember> aliveMembers(Predicate<MemberRecord> filter) {
     return members.values().stream()
         .filter(known -> known.record().state() == MemberState.ALIVE)
         .filter(known -> filter.test(known.record()));
@@ -270,99 +288,106 @@
     return !record.id().equals(self.id());
   }
 
-  private void takeListed(MemberRecord record, Instant now) {
-    Known known = members.get(record.id());
+  private void applyListed(MemberRecord record, Instant now) {
+    ObservedMember known = members.get(record.id());
     if (known == null) {
-      put(record.id(), Known.of(record.withNumbers(0, 0), true, now));
+      put(record.id(), ObservedMember.of(record.withIncarnation(0, 0), true, now));
       return;
     }
     MemberRecord before = known.record();
     boolean moved = before.port() != record.port() || !before.host().equals(record.host());
     boolean silent = before.state() == MemberState.SUSPECT || before.state() == MemberState.DEAD;
     if (moved && silent) {
-      put(record.id(), known.with(record.withNumbers(0, 0), now));
+      put(record.id(), known.withRecord(record.withIncarnation(0, 0), now));
     } else if (record.state() == MemberState.LEAVING && before.state() == MemberState.ALIVE) {
-      put(record.id(), known.with(before.withState(MemberState.LEAVING), now));
+      put(record.id(), known.withRecord(before.withState(MemberState.LEAVING), now));
     }
   }
 
-  private void mergeOne(MemberRecord record, Instant now) {
+  private void mergeRecord(MemberRecord record, Instant now) {
     if (!isOther(record)) {
       refute(record);
       return;
     }
-    Known known = members.get(record.id());
+    ObservedMember known = members.get(record.id());
     if (known == null) {
-      put(record.id(), Known.of(record, false, now));
+      put(record.id(), ObservedMember.of(record, false, now));
     } else if (record.supersedes(known.record()) && !isContradicted(record, known, now)) {
-      put(record.id(), known.with(record, now));
+      put(record.id(), known.withRecord(record, now));
     } else if (record.state() == known.record().state()) {
-      put(record.id(), known.with(known.record().completedBy(record), now));
+      put(record.id(), known.withRecord(known.record().withLoadAndUrlFrom(record), now));
     }
   }
 
   /**
-   * A suspicion by others of a process that this one hears itself is wrong and is not passed on.
+   * Tells whether a record suspects a process that this one has just heard itself. Such a suspicion
+   * is wrong and is not passed on.
    */
-  private static boolean isContradicted(MemberRecord claim, Known known, Instant now) {
-    boolean suspicion = claim.state() == MemberState.SUSPECT || claim.state() == MemberState.DEAD;
+  private static boolean isContradicted(MemberRecord reported, ObservedMember known, Instant now) {
+    boolean suspicion =
+        reported.state() == MemberState.SUSPECT || reported.state() == MemberState.DEAD;
     return suspicion
-        && known.misses() == 0
-        && claim.incarnation() == known.record().incarnation()
-        && Seconds.between(known.heardAt(), now) < HEARD_LATELY_SECONDS;
+        && known.missedProbes() == 0
+        && reported.incarnation() == known.record().incarnation()
+        && Seconds.between(known.heardAt(), now) < RECENTLY_HEARD_SECONDS;
   }
 
   /**
-   * A process that others take for dead gets no work although it is well, for instance after a
-   * pause or a one-way cut. Its own word with a higher number is believed by everyone.
+   * Refutes a wrong state of this process. A process that others consider suspect or dead gets no
+   * work although it is alive, for instance after a pause or a partition in one direction. Its own
+   * record with a higher refutation number takes precedence at all others.
    */
-  private void refute(MemberRecord claim) {
-    boolean aboutThisRun = claim.incarnation() == self.incarnation();
-    boolean wrong = claim.state() != self.state() && claim.refutation() >= self.refutation();
+  private void refute(MemberRecord reported) {
+    boolean aboutThisRun = reported.incarnation() == self.incarnation();
+    boolean wrong = reported.state() != self.state() && reported.refutation() >= self.refutation();
     if (aboutThisRun && wrong) {
-      self = self.withNumbers(self.incarnation(), claim.refutation() + 1);
+      self = self.withIncarnation(self.incarnation(), reported.refutation() + 1);
     }
   }
 
-  /** A few times a second is enough, and this looks at every member. */
-  private void advance(Instant now) {
-    if (Seconds.between(advancedAt, now) < ADVANCE_SECONDS && !now.isBefore(advancedAt)) {
+  /**
+   * Makes overdue suspects dead and removes old dead members; rate-limited, as it scans them all.
+   */
+  private void expire(Instant now) {
+    if (Seconds.between(lastExpiryAt, now) < EXPIRY_INTERVAL_SECONDS
+        && !now.isBefore(lastExpiryAt)) {
       return;
     }
-    advancedAt = now;
+    lastExpiryAt = now;
     List.copyOf(members.values()).stream()
         .filter(known -> isOverdue(known, now))
         .forEach(known -> put(known.record().id(), dead(known, now)));
-    if (members.values().removeIf(known -> isForgotten(known, now))) {
-      links = Optional.empty();
+    if (members.values().removeIf(known -> isRemovable(known, now))) {
+      chosenLinks = Optional.empty();
     }
   }
 
-  private void put(String id, Known known) {
-    Known before = members.put(id, known);
+  private void put(String id, ObservedMember known) {
+    ObservedMember before = members.put(id, known);
     if (before == null || !before.hasSameLinkAs(known)) {
-      links = Optional.empty();
+      chosenLinks = Optional.empty();
     }
   }
 
-  private boolean isOverdue(Known known, Instant now) {
+  private boolean isOverdue(ObservedMember known, Instant now) {
     return known.record().state() == MemberState.SUSPECT
         && Seconds.between(known.suspectedAt(), now) >= options.suspicionSeconds();
   }
 
-  private static Known dead(Known known, Instant now) {
-    return known.with(known.record().withState(MemberState.DEAD), now);
+  private static ObservedMember dead(ObservedMember known, Instant now) {
+    return known.withRecord(known.record().withState(MemberState.DEAD), now);
   }
 
-  private boolean isForgotten(Known known, Instant now) {
+  private boolean isRemovable(ObservedMember known, Instant now) {
     return known.record().state() == MemberState.DEAD
         && !known.listed()
-        && Seconds.between(known.changedAt(), now) >= options.forgetSeconds();
+        && Seconds.between(known.changedAt(), now) >= options.removalSeconds();
   }
 
-  private static long turn(Instant now) {
+  /** Returns a number that increases every 100 milliseconds. */
+  private static long rotation(Instant now) {
     return now.toEpochMilli() / 100;
   }
 
-  private record Scored(long score, MemberRecord record) {}
+  private record ScoredRecord(long score, MemberRecord record) {}
 }
--- a/core/src/main/java/dev/ibishub/core/ProcessIncarnation.java
+++ b/core/src/main/java/dev/ibishub/core/ProcessIncarnation.java
@@ -1,13 +1,13 @@
 package dev.ibishub.core;
 
 /**
- * One run of a process, from start to death.
+ * One run of a process, from its start to its end.
  *
- * @param process the process's name, which a restart keeps
- * @param incarnation drawn anew at each start
+ * @param process the process's name, which stays the same across restarts
+ * @param incarnation a new number for each start
  */
 public record ProcessIncarnation(String process, long incarnation) {
-  /** Checks the name. */
+  /** Checks that the name is not empty. */
   public ProcessIncarnation {
     if (process.isEmpty()) {
       throw new IllegalArgumentException("process must have a name");
--- a/core/src/test/java/dev/ibishub/core/MembershipTest.java
+++ b/core/src/test/java/dev/ibishub/core/MembershipTest.java
@@ -12,15 +12,16 @@
   private static final Instant NOW = Instant.parse("2026-12-02T00:00:00Z");
   private static final MembershipOptions OPTIONS = new MembershipOptions(2, 2, 60, 4, 2, 3, 8);
 
-  private final Membership membership = view("entry-0");
+  private final Membership membership = membershipOf("entry-0");
 
   /**
-   * Callers keep being sent to an entry that is gone: the list of VMs names it for minutes after.
+   * Guards against callers being sent to a dead entry: the list of VMs still contains it for
+   * minutes.
    */
   @Test
-  void deadEntryIsNoLongerLiveWhateverTheListSays() {
-    known("entry-1", 1);
-    missTwice("entry-1", NOW);
+  void deadEntryStaysDeadWhenListStillContainsIt() {
+    addKnownEntry("entry-1", 1);
+    missTwoProbes("entry-1", NOW);
     membership.missed("entry-1", NOW.plusSeconds(3));
     membership.listed(List.of(listed("entry-1", MemberState.ALIVE)), NOW.plusSeconds(4));
 
@@ -28,10 +29,10 @@
     assertThat(membership.member("entry-1").orElseThrow().state()).isEqualTo(MemberState.DEAD);
   }
 
-  /** An entry that is well gets no callers: the list has lost it, or says that it is leaving. */
+  /** Guards against a live entry that gets no callers because the list of VMs omits it. */
   @Test
-  void entryThatIsHeardStaysWhenTheListForgetsIt() {
-    known("entry-1", 1);
+  void entryThatIsHeardStaysLiveWhenListOmitsIt() {
+    addKnownEntry("entry-1", 1);
     membership.listed(List.of(), NOW.plusSeconds(1));
     membership.heard("entry-1", 1, NOW.plusSeconds(100));
 
@@ -39,15 +40,16 @@
   }
 
   /**
-   * An entry was paused for a moment, others suspect it, and it gets no callers although it is
-   * back. Its own word with a higher number wins, also over suspicions that come late.
+   * Guards against an entry that gets no callers after a short pause because others suspect it. Its
+   * own record with a higher refutation number takes precedence, also over suspicions that arrive
+   * late.
    */
   @Test
-  void refutedSuspicionStaysRefuted() {
-    known("entry-1", 1);
-    missTwice("entry-1", NOW);
+  void refutationWinsOverSuspicionThatArrivesLater() {
+    addKnownEntry("entry-1", 1);
+    missTwoProbes("entry-1", NOW);
     MemberRecord suspicion = membership.member("entry-1").orElseThrow();
-    Membership suspect = view("entry-1");
+    Membership suspect = membershipOf("entry-1");
     suspect.merge(List.of(suspicion), NOW);
     membership.merge(suspect.digest(NOW), NOW);
     membership.merge(List.of(suspicion), NOW);
@@ -56,32 +58,32 @@
   }
 
   /**
-   * Callers are kept from an entry that is well: one of its neighbours cannot hear it, and all the
-   * others believe the neighbour more than their own links.
+   * Guards against a live entry that gets no callers: one of its peers cannot hear it, and the
+   * other peers trust that suspicion more than their own links.
    */
   @Test
-  void suspicionByOthersDoesNotUnlistAnEntryThatIsHeard() {
-    known("entry-1", 1);
+  void suspicionByPeerIsIgnoredForEntryThatIsHeard() {
+    addKnownEntry("entry-1", 1);
     membership.heard("entry-1", 1, NOW);
     membership.merge(List.of(record("entry-1", 1).withState(MemberState.SUSPECT)), NOW);
 
     assertThat(membership.liveEntries()).hasSize(1);
   }
 
-  /** With one link cut in one direction, the same false suspicion goes round for ever. */
+  /** Guards against a false suspicion that recurs as long as a link is cut in one direction. */
   @Test
-  void entryThatRefutedIsNotSuspectedAgainAtOnce() {
-    known("entry-1", 1);
-    missTwice("entry-1", NOW);
-    membership.merge(List.of(record("entry-1", 1).withNumbers(1, 1)), NOW.plusSeconds(1));
-    missTwice("entry-1", NOW.plusSeconds(2));
+  void entryThatJustRefutedIsNotSuspectedAgain() {
+    addKnownEntry("entry-1", 1);
+    missTwoProbes("entry-1", NOW);
+    membership.merge(List.of(record("entry-1", 1).withIncarnation(1, 1)), NOW.plusSeconds(1));
+    missTwoProbes("entry-1", NOW.plusSeconds(2));
 
     assertThat(membership.liveEntries()).hasSize(1);
   }
 
   @Test
-  void oneMissSuspectsNobody() {
-    known("entry-1", 1);
+  void oneMissedProbeDoesNotMakeEntrySuspect() {
+    addKnownEntry("entry-1", 1);
     membership.missed("entry-1", NOW);
     membership.heard("entry-1", 1, NOW);
     membership.missed("entry-1", NOW);
@@ -89,11 +91,11 @@
     assertThat(membership.liveEntries()).hasSize(1);
   }
 
-  /** A restarted process must not be held to what was believed of the one before it. */
+  /** The state of a restarted process must not depend on its earlier incarnation. */
   @Test
-  void newIncarnationWinsOverDeathOfTheOld() {
-    known("entry-1", 1);
-    missTwice("entry-1", NOW);
+  void newIncarnationIsAliveWhenEarlierOneWasDead() {
+    addKnownEntry("entry-1", 1);
+    missTwoProbes("entry-1", NOW);
     membership.missed("entry-1", NOW.plusSeconds(3));
     MemberRecord dead = membership.member("entry-1").orElseThrow();
     membership.heard("entry-1", 2, NOW.plusSeconds(4));
@@ -103,30 +105,32 @@
   }
 
   /**
-   * A caller is cut off: an entry left although an answer that named it was still in use. It was
-   * named on the word of a third entry that did not know yet.
+   * Guards against an entry that shuts down while callers still use its address. A peer could give
+   * out the address because of the report of a third entry, which does not know yet that the entry
+   * is leaving.
    */
   @Test
-  void leavingEntryServesUntilEveryAnswerThatNamesItHasRunOut() {
-    Membership leaving = view("entry-1");
+  void leavingEntryServesUntilItsLastAddressExpires() {
+    Membership leaving = membershipOf("entry-1");
     AddressBook own = AddressBook.create(leaving, 30, 1, 3);
     AddressBook peer = AddressBook.create(membership, 30, 1, 3);
-    known("entry-1", 1);
+    addKnownEntry("entry-1", 1);
     membership.heard("entry-1", 1, NOW);
     leaving.leaving("entry-1", NOW);
 
-    // The peer has not heard the news for a while, but has second-hand word that it is alive.
+    // The peer does not know that the entry is leaving, and gets a third entry's record with state
+    // alive.
     membership.merge(List.of(record("entry-1", 1)), NOW.plusSeconds(14));
-    Instant runsOut = validUntil(peer, "entry-1", NOW.plusSeconds(14));
+    Instant expiresAt = validUntil(peer, "entry-1", NOW.plusSeconds(14));
 
-    assertThat(own.servesUntil().orElseThrow()).isAfterOrEqualTo(runsOut);
+    assertThat(own.servesUntil().orElseThrow()).isAfterOrEqualTo(expiresAt);
     assertThat(own.addresses(NOW)).isEmpty();
   }
 
   @Test
-  void newsOfLeavingUnlistsAnEntryAtOnce() {
-    Membership leaving = view("entry-1");
-    known("entry-1", 1);
+  void addressesOmitLeavingEntryAfterItsDigest() {
+    Membership leaving = membershipOf("entry-1");
+    addKnownEntry("entry-1", 1);
     membership.heard("entry-1", 1, NOW);
     leaving.leaving("entry-1", NOW);
     membership.merge(leaving.digest(NOW), NOW);
@@ -138,7 +142,7 @@
   }
 
   @Test
-  void addressesPreferOwnZoneThenTheLeastLoaded() {
+  void addressesAreSortedByOwnZoneAndThenByLoad() {
     Stream.of(
             record("far", 1).withLoad(0),
             inZone(record("busy", 1), "zone-0").withLoad(9),
@@ -156,7 +160,7 @@
   }
 
   @Test
-  void linksAreBoundedAndStayWhenOthersCome() {
+  void linksAreBoundedAndMostlyStayWhenMembersAreAdded() {
     membership.listed(agents(0, 50), NOW);
     List<MemberRecord> before = membership.connectTo();
     membership.listed(agents(0, 52), NOW);
@@ -166,11 +170,11 @@
   }
 
   @Test
-  void digestIsBoundedAndTellsAllInTheEnd() {
+  void digestIsBoundedAndEventuallySendsAllRecords() {
     IntStream.range(0, 40)
         .forEach(number -> membership.merge(List.of(record("entry-x" + number, 1)), NOW));
 
-    List<String> told =
+    List<String> sentIds =
         IntStream.range(0, 400)
             .mapToObj(tenth -> membership.digest(NOW.plusSeconds(60).plusMillis(100L * tenth)))
             .peek(digest -> assertThat(digest).hasSizeLessThanOrEqualTo(8))
@@ -179,7 +183,7 @@
             .distinct()
             .toList();
 
-    assertThat(told).hasSize(41);
+    assertThat(sentIds).hasSize(41);
   }
 
   private static Instant validUntil(AddressBook book, String entry, Instant now) {
@@ -190,17 +194,17 @@
         .validUntil();
   }
 
-  private void known(String id, long incarnation) {
+  private void addKnownEntry(String id, long incarnation) {
     membership.listed(List.of(listed(id, MemberState.ALIVE)), NOW);
     membership.merge(List.of(record(id, incarnation)), NOW);
   }
 
-  private void missTwice(String id, Instant now) {
+  private void missTwoProbes(String id, Instant now) {
     membership.missed(id, now);
     membership.missed(id, now);
   }
 
-  private static Membership view(String id) {
+  private static Membership membershipOf(String id) {
     return Membership.create(inZone(record(id, 1), "zone-0"), OPTIONS);
   }
 
