--- a/core/src/main/java/dev/ibishub/core/AddressBook.java
+++ b/core/src/main/java/dev/ibishub/core/AddressBook.java
@@ -8,53 +8,61 @@
 import java.util.stream.Stream;
 
 /**
- * The addresses that an entry gives to callers, and how long a leaving entry must go on serving
- * because an answer that names it may still be in use. Thread-safe: it keeps no state but what
- * {@link Membership} has.
+ * Selects the entry addresses that an entry gives to callers, and tells how long a leaving entry
+ * must keep serving because callers may still use its address. Thread-safe: its only mutable state
+ * is in {@link Membership}.
  */
 public final class AddressBook {
-  private static final double SHORTEST_VALID_SHARE = 0.5;
+  /** The smallest remaining part of the validity with which another entry's address is given. */
+  private static final double MINIMUM_VALID_FRACTION = 0.5;
 
   private final Membership membership;
   private final double validSeconds;
-  private final double newsSeconds;
-  private final int mostAddresses;
+  private final double maximumDelaySeconds;
+  private final int maximumAddresses;
 
   private AddressBook(
-      Membership membership, double validSeconds, double newsSeconds, int mostAddresses) {
+      Membership membership,
+      double validSeconds,
+      double maximumDelaySeconds,
+      int maximumAddresses) {
     this.membership = membership;
     this.validSeconds = validSeconds;
-    this.newsSeconds = newsSeconds;
-    this.mostAddresses = mostAddresses;
+    this.maximumDelaySeconds = maximumDelaySeconds;
+    this.maximumAddresses = maximumAddresses;
   }
 
   /**
    * Creates an address book.
    *
-   * @param membership this entry's view
-   * @param validSeconds for how long callers may use an answer
-   * @param newsSeconds bound on how long a message between entries is under way, and on how far
-   *     their clocks differ
-   * @param mostAddresses of one answer
+   * @param membership this entry's view of the processes
+   * @param validSeconds time in seconds for which callers may use an address
+   * @param maximumDelaySeconds bound in seconds on the delay of a message between entries and on
+   *     the difference of their clocks
+   * @param maximumAddresses the most addresses in one answer
    */
   public static AddressBook create(
-      Membership membership, double validSeconds, double newsSeconds, int mostAddresses) {
-    if (!(validSeconds > 0) || !(newsSeconds >= 0) || mostAddresses < 1) {
-      throw new IllegalArgumentException("validSeconds, newsSeconds or mostAddresses too small");
+      Membership membership,
+      double validSeconds,
+      double maximumDelaySeconds,
+      int maximumAddresses) {
+    if (!(validSeconds > 0) || !(maximumDelaySeconds >= 0) || maximumAddresses < 1) {
+      throw new IllegalArgumentException(
+          "validSeconds, maximumDelaySeconds or maximumAddresses too small");
     }
-    return new AddressBook(membership, validSeconds, newsSeconds, mostAddresses);
+    return new AddressBook(membership, validSeconds, maximumDelaySeconds, maximumAddresses);
   }
 
   /**
-   * The addresses for a caller, best first: this failure domain before others, then the least
-   * loaded.
+   * Returns the addresses for a caller, best first: those in this failure domain before others,
+   * then by ascending load.
    *
-   * <p>An entry is named only on its own word, and no longer than that word allows: it was heard
-   * alive directly, not through a third entry, which may not yet know that it is leaving. That is
-   * what makes {@link #servesUntil} a bound.
+   * <p>Another entry is included only if this entry heard it alive on a direct link, and its
+   * address is valid from that time on. A third entry's report does not count, as that entry may
+   * not know yet that the reported one is leaving. {@link #servesUntil} relies on this.
    *
    * @param now the current time
-   * @return the addresses; empty when this entry leaves and hears no other
+   * @return the addresses; empty if this entry is leaving and has heard no other recently
    */
   public List<EntryAddress> addresses(Instant now) {
     MemberRecord self = membership.self();
@@ -71,26 +79,28 @@
             Comparator.comparing((Candidate entry) -> !entry.record().zone().equals(self.zone()))
                 .thenComparing(entry -> entry.record().load())
                 .thenComparing(entry -> entry.record().id()))
-        .limit(mostAddresses)
+        .limit(maximumAddresses)
         .map(Candidate::address)
         .toList();
   }
 
   /**
-   * Until when this entry has to serve callers after it began to leave: the last answer that may
-   * name it has run out then.
+   * Returns the time until which a leaving entry must serve callers: by then the last address given
+   * out for it has expired.
    *
-   * @return empty while it is not leaving
+   * @return the time, or empty while this entry is not leaving
    */
   public Optional<Instant> servesUntil() {
-    return membership.leavingSince().map(since -> Seconds.after(since, validSeconds + newsSeconds));
+    return membership
+        .leavingSince()
+        .map(since -> Seconds.after(since, validSeconds + maximumDelaySeconds));
   }
 
   private Optional<Candidate> candidate(MemberRecord record, Instant now) {
     return membership
         .heardAt(record.id())
         .map(heard -> Seconds.after(heard, validSeconds))
-        .filter(until -> Seconds.between(now, until) >= validSeconds * SHORTEST_VALID_SHARE)
+        .filter(until -> Seconds.between(now, until) >= validSeconds * MINIMUM_VALID_FRACTION)
         .map(until -> new Candidate(record, until));
   }
 
--- a/core/src/main/java/dev/ibishub/core/EntryAddress.java
+++ b/core/src/main/java/dev/ibishub/core/EntryAddress.java
@@ -3,10 +3,10 @@
 import java.time.Instant;
 
 /**
- * An address that a caller may use.
+ * The address of an entry, as given to callers.
  *
- * @param url of the entry
+ * @param url URL at which the entry serves callers
  * @param zone failure domain of the entry
- * @param validUntil when the caller has to ask again
+ * @param validUntil the time after which a caller must look up the addresses again
  */
 public record EntryAddress(String url, String zone, Instant validUntil) {}
--- a/core/src/test/java/dev/ibishub/core/AddressBookTest.java
+++ b/core/src/test/java/dev/ibishub/core/AddressBookTest.java
@@ -15,12 +15,12 @@
   private final AddressBook book = AddressBook.create(membership, 30, 2, 3);
 
   /**
-   * A caller is told an empty address and fails before it has sent anything. The platform's list
-   * names an entry without its address for callers; a link to it opens, so it is heard, before its
-   * own digest has come.
+   * Guards against an empty address given to a caller, who then cannot connect. The platform's list
+   * contains an entry without its URL for callers, and the entry is heard on a link before its
+   * first digest arrives.
    */
   @Test
-  void entryWhoseAddressIsNotKnownYetIsNotNamed() {
+  void omitsEntryWhoseUrlIsNotKnownYet() {
     membership.listed(List.of(entry("entry-2", "", 0)), NOW);
     membership.heard("entry-2", INCARNATION, NOW);
 
@@ -30,11 +30,12 @@
   }
 
   /**
-   * Callers are only ever told one entry. The digest with the address has the same incarnation as
-   * the record made of the list and the link, so it counted as old news and its address was lost.
+   * Guards against answers that never contain another entry. The digest with the URL has the same
+   * incarnation as the record made from the list and the link, so it does not supersede that record
+   * and its URL would be lost.
    */
   @Test
-  void addressComesWithTheFirstDigestAfterTheLink() {
+  void includesEntryWhoseUrlArrivesWithDigestAfterLink() {
     membership.listed(List.of(entry("entry-2", "", 0)), NOW);
     membership.heard("entry-2", INCARNATION, NOW);
     membership.merge(List.of(entry("entry-2", "http://127.0.0.1:2", INCARNATION)), NOW);
