--- a/core/src/main/java/dev/ibishub/core/ResultCode.java
+++ b/core/src/main/java/dev/ibishub/core/ResultCode.java
@@ -7,8 +7,8 @@
 import java.util.stream.Collectors;
 
 /**
- * The numbered result of every call, as listed in {@code docs/RESULT-CODES.md}. A number is never
- * used again for another meaning.
+ * The result of a call, with its number, outcome, HTTP status and retry advice as listed in {@code
+ * docs/RESULT-CODES.md}. A number is never reused with another meaning.
  */
 public enum ResultCode {
   OK(0, Outcome.DONE, 200, Retry.NEVER),
@@ -69,11 +69,11 @@
 
   /** Whether and when a caller should send the request again. */
   public enum Retry {
-    /** The same request gets the same answer. */
+    /** Useless: the same request gets the same result. */
     NEVER,
-    /** Safe, not before the time given in {@code Retry-After}. */
+    /** Safe, but not before the time given in {@code Retry-After}. */
     LATER,
-    /** The request may have run; only the caller knows whether running it twice does harm. */
+    /** The request may have run; only the caller knows whether it may run twice. */
     CALLER_DECIDES
   }
 
--- a/core/src/main/java/dev/ibishub/core/ResultException.java
+++ b/core/src/main/java/dev/ibishub/core/ResultException.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * A call that ended with a result code other than {@link ResultCode#OK}. It is what the project's
- * {@code CompletableFuture}s fail with.
+ * Failure of a call with a result code other than {@link ResultCode#OK}. The project's {@code
+ * CompletableFuture}s complete exceptionally with it.
  */
 public final class ResultException extends RuntimeException {
   private static final long serialVersionUID = 1L;
@@ -14,21 +14,23 @@
   private final transient Instant retryAt;
 
   /**
-   * Creates a failure.
+   * Creates an exception without a time for a retry.
    *
    * @param code why the call failed
-   * @param detail what was met and what was expected, for people; holds no secret or prompt text
+   * @param detail what was found and what was expected, as text for people; must contain no secret
+   *     and no text of a prompt
    */
   public ResultException(ResultCode code, String detail) {
     this(code, detail, null);
   }
 
   /**
-   * Creates a failure that says when to come back.
+   * Creates an exception with a time for a retry.
    *
    * @param code why the call failed
-   * @param detail what was met and what was expected, for people
-   * @param retryAt the earliest time at which another try makes sense, or null
+   * @param detail what was found and what was expected, as text for people; must contain no secret
+   *     and no text of a prompt
+   * @param retryAt the earliest time at which a retry makes sense, or null if none is given
    */
   public ResultException(ResultCode code, String detail, Instant retryAt) {
     super(detail);
@@ -40,6 +42,7 @@
     return code;
   }
 
+  /** Returns the earliest time at which a retry makes sense, if one was given. */
   public Optional<Instant> retryAt() {
     return Optional.ofNullable(retryAt);
   }
--- a/core/src/test/java/dev/ibishub/core/ResultCodeTest.java
+++ b/core/src/test/java/dev/ibishub/core/ResultCodeTest.java
@@ -12,7 +12,7 @@
   private static final Path PAGE = Path.of("..", "docs", "RESULT-CODES.md");
 
   @Test
-  void pageListsEveryCodeAsTheEnumHasIt() throws Exception {
+  void resultCodesPageMatchesEnum() throws Exception {
     String page = Files.readString(PAGE);
 
     assertThat(page.lines().filter(line -> line.startsWith("| ") && line.contains("`")))
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void refusalThatSaysNotRunNeverLeavesTheRetryToTheCaller() {
+  void notRunCodesNeverLeaveRetryToCaller() {
     assertThat(ResultCode.values())
         .filteredOn(code -> code.outcome() == Outcome.NOT_RUN)
         .noneMatch(code -> code.retry() == ResultCode.Retry.CALLER_DECIDES);
