--- a/core/src/test/java/dev/ibishub/core/CoreArchitectureTest.java
+++ b/core/src/test/java/dev/ibishub/core/CoreArchitectureTest.java
@@ -22,7 +22,10 @@
 import java.util.concurrent.Executors;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** The decisions take time, randomness and threads from outside, so every fault can be replayed. */
+/**
+ * Checks that the core gets time, randomness and threads from its callers, so that every fault can
+ * be reproduced deterministically.
+ */
 @AnalyzeClasses(packages = "dev.ibishub.core", importOptions = ImportOption.DoNotIncludeTests.class)
 class CoreArchitectureTest {
   @ArchTest
@@ -34,7 +37,7 @@
                   .or(resideInAPackage("java.nio.channels.."))
                   .or(resideInAPackage("java.net.."))
                   .or(resideInAPackage("javax.net.."))
-                  .or(resideInAPackage("java.io..").and(isNoMarker())));
+                  .or(resideInAPackage("java.io..").and(isNotSerializable())));
 
   @ArchTest
   static final ArchRule CORE_STARTS_NO_THREAD =
@@ -62,7 +65,7 @@
           .areAssignableTo(InstantSource.class);
 
   @ArchTest
-  static final ArchRule CORE_MAKES_NO_RANDOMNESS =
+  static final ArchRule CORE_USES_NO_RANDOMNESS =
       noClasses()
           .should()
           .dependOnClassesThat()
@@ -71,13 +74,13 @@
           .orShould(callMethodWhere(isNamed("java.lang.Math", "random")));
 
   @ArchTest
-  static final ArchRule CORE_KNOWS_NO_OTHER_MODULE =
+  static final ArchRule CORE_DEPENDS_ON_NO_OTHER_MODULE =
       noClasses()
           .should()
           .dependOnClassesThat(
               resideInAPackage("dev.ibishub..").and(resideOutsideOfPackages("dev.ibishub.core..")));
 
-  private static DescribedPredicate<JavaClass> isNoMarker() {
+  private static DescribedPredicate<JavaClass> isNotSerializable() {
     return DescribedPredicate.describe(
         "is not java.io.Serializable", type -> !type.isEquivalentTo(Serializable.class));
   }
@@ -87,10 +90,10 @@
         "reads a clock",
         call -> {
           String name = call.getTarget().getName();
-          boolean isOfTime = call.getTargetOwner().getPackageName().equals("java.time");
+          boolean isJavaTime = call.getTargetOwner().getPackageName().equals("java.time");
           return name.equals("nanoTime")
               || name.equals("currentTimeMillis")
-              || (name.equals("now") && isOfTime);
+              || (name.equals("now") && isJavaTime);
         });
   }
 
