--- a/core/src/main/java/dev/ibishub/core/internal/configuration/TextHash.java
+++ b/core/src/main/java/dev/ibishub/core/internal/configuration/TextHash.java
@@ -18,8 +18,8 @@
    * @param revision number of the revision
    * @param base the text of the base
    * @param overlays the texts of the overlays by site
-   * @return SHA-256 in hexadecimal; each text is hashed with its length in front, so that texts
-   *     split in another place have another hash
+   * @return SHA-256 in hexadecimal; each text is hashed with its length in front, so that moving
+   *     characters from one text to the next changes the hash
    */
   public static String of(long revision, String base, SortedMap<String, String> overlays) {
     MessageDigest digest = sha256();
