--- a/entry/src/main/java/dev/ibishub/entry/CallerPages.java
+++ b/entry/src/main/java/dev/ibishub/entry/CallerPages.java
@@ -113,11 +113,11 @@
     var origin = origin(exchange, requestId);
     byte[] body = Http.body(exchange, settings.maximumBodyBytes());
     var read = ModelRequests.read(body, chat, origin, configuration.get());
-    ModelAnswer form = new ModelAnswer(requestId, read.model(), chat);
-    Answer answer =
+    CompletionFormat format = new CompletionFormat(requestId, read.model(), chat);
+    AnswerWriter answer =
         read.streamed()
-            ? new StreamedAnswer(exchange, requestId, form, 0, context.clock())
-            : new WholeAnswer(exchange, requestId, form, context.clock());
+            ? new StreamedAnswerWriter(exchange, requestId, format, 0, context.clock())
+            : new JsonAnswerWriter(exchange, requestId, format, context.clock());
     runner(exchange, origin.workspace(), read.request(), answer).start();
   }
 
@@ -161,7 +161,7 @@
             mayBeRepeated ? Repeatability.MAY_BE_REPEATED : Repeatability.ONCE_BY_CLAIM,
             true,
             dispatch);
-    Answer answer = new ServiceAnswerWriter(exchange, requestId, context.clock());
+    AnswerWriter answer = new ServiceAnswerWriter(exchange, requestId, context.clock());
     runner(exchange, origin.workspace(), request, answer).start();
   }
 
@@ -178,9 +178,11 @@
   }
 
   private void join(HttpExchange exchange, ModelRequests.Origin origin, StreamName stream) {
-    long from = firstWanted(exchange);
-    ModelAnswer form = new ModelAnswer(origin.requestId(), stream.model(), stream.chat());
-    Answer answer = new StreamedAnswer(exchange, origin.requestId(), form, from, context.clock());
+    long from = firstChunk(exchange);
+    CompletionFormat format =
+        new CompletionFormat(origin.requestId(), stream.model(), stream.chat());
+    AnswerWriter answer =
+        new StreamedAnswerWriter(exchange, origin.requestId(), format, from, context.clock());
     CallerRequest request =
         new CallerRequest(
             origin.requestId(),
@@ -225,7 +227,7 @@
   }
 
   private RequestRunner runner(
-      HttpExchange exchange, Workspace workspace, CallerRequest request, Answer answer) {
+      HttpExchange exchange, Workspace workspace, CallerRequest request, AnswerWriter answer) {
     Runnable giveBack = server.takePlace(exchange);
     Instant now = context.clock().instant();
     AdmissionDecision decision = admission.admit(query(workspace, request, now), now);
@@ -286,7 +288,7 @@
     }
   }
 
-  private static long firstWanted(HttpExchange exchange) {
+  private static long firstChunk(HttpExchange exchange) {
     String query = Optional.ofNullable(exchange.getRequestURI().getQuery()).orElse("from=0");
     Matcher from = Pattern.compile("from=([0-9]{1,18})").matcher(query);
     if (!from.matches()) {
--- a/entry/src/main/java/dev/ibishub/entry/ModelAnswer.java
+++ b/entry/src/main/java/dev/ibishub/entry/CompletionFormat.java
@@ -3,19 +3,19 @@
 import com.fasterxml.jackson.databind.node.JsonNodeFactory;
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
-/** The JSON of a model's answer in the shape that callers' libraries expect. */
-final class ModelAnswer {
+/** JSON of a model's answer in the format that the client libraries of callers expect. */
+final class CompletionFormat {
   private final String requestId;
   private final String model;
   private final boolean chat;
 
-  ModelAnswer(String requestId, String model, boolean chat) {
+  CompletionFormat(String requestId, String model, boolean chat) {
     this.requestId = requestId;
     this.model = model;
     this.chat = chat;
   }
 
-  /** One event of a streamed answer. */
+  /** Returns the JSON of one chunk of a streamed answer. */
   ObjectNode chunk(String text) {
     ObjectNode answer = head(chat ? "chat.completion.chunk" : "text_completion");
     ObjectNode choice = choice(answer);
@@ -28,8 +28,8 @@
     return answer;
   }
 
-  /** A whole answer. */
-  ObjectNode whole(String text, long usedTokens) {
+  /** Returns the JSON of a complete answer. */
+  ObjectNode completion(String text, long usedTokens) {
     ObjectNode answer = head(chat ? "chat.completion" : "text_completion");
     ObjectNode choice = choice(answer);
     if (chat) {
--- a/entry/src/main/java/dev/ibishub/entry/WholeAnswer.java
+++ b/entry/src/main/java/dev/ibishub/entry/JsonAnswerWriter.java
@@ -8,23 +8,24 @@
 import java.nio.charset.StandardCharsets;
 import java.time.InstantSource;
 
-/** A model's answer as one JSON document. */
-final class WholeAnswer implements Answer {
+/** Collects a model's answer and sends it as one JSON document. */
+final class JsonAnswerWriter implements AnswerWriter {
   private final HttpExchange exchange;
   private final String requestId;
-  private final ModelAnswer form;
+  private final CompletionFormat format;
   private final InstantSource clock;
   private final ByteArrayOutputStream text = new ByteArrayOutputStream();
 
-  WholeAnswer(HttpExchange exchange, String requestId, ModelAnswer form, InstantSource clock) {
+  JsonAnswerWriter(
+      HttpExchange exchange, String requestId, CompletionFormat format, InstantSource clock) {
     this.exchange = exchange;
     this.requestId = requestId;
-    this.form = form;
+    this.format = format;
     this.clock = clock;
   }
 
   @Override
-  public void piece(String stream, long number, byte[] data) {
+  public void writeChunk(String stream, long number, byte[] data) {
     text.writeBytes(data);
   }
 
@@ -36,7 +37,7 @@
   @Override
   public void succeed(AnswerEnd end) throws IOException {
     Http.sendJson(
-        exchange, 200, form.whole(text.toString(StandardCharsets.UTF_8), end.usedTokens()));
+        exchange, 200, format.completion(text.toString(StandardCharsets.UTF_8), end.usedTokens()));
   }
 
   @Override
--- a/entry/src/main/java/dev/ibishub/entry/Problem.java
+++ b/entry/src/main/java/dev/ibishub/entry/Problem.java
@@ -10,13 +10,13 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** Failures as callers see them: problem JSON of RFC 9457 with the numbered result code. */
+/** Sends failures to callers as problem JSON (RFC 9457) with the numbered result code. */
 final class Problem {
-  private static final Duration DEFAULT_RETRY = Duration.ofSeconds(1);
+  private static final Duration DEFAULT_RETRY_DELAY = Duration.ofSeconds(1);
 
   private Problem() {}
 
-  /** Returns the problem as JSON. */
+  /** Returns the problem JSON, with {@code retryAt} where the caller may retry later. */
   static ObjectNode json(ResultException failure, String requestId, Instant now) {
     ObjectNode problem = ProblemDocument.of(failure).put("requestId", requestId);
     if (failure.code().retry() == ResultCode.Retry.LATER) {
@@ -25,7 +25,7 @@
     return problem;
   }
 
-  /** Sends the problem as the whole answer and closes the exchange. */
+  /** Sends the problem as the complete response and closes the exchange. */
   static void send(HttpExchange exchange, ResultException failure, String requestId, Instant now)
       throws IOException {
     byte[] body = json(failure, requestId, now).toString().getBytes(StandardCharsets.UTF_8);
@@ -36,10 +36,13 @@
   }
 
   private static Instant retryAt(ResultException failure, Instant now) {
-    return failure.retryAt().orElse(now.plus(DEFAULT_RETRY));
+    return failure.retryAt().orElse(now.plus(DEFAULT_RETRY_DELAY));
   }
 
-  /** Whole seconds, rounded up: a caller that comes back too early would only be refused again. */
+  /**
+   * Returns whole seconds, rounded up and at least 1: a caller that retries too early would only be
+   * refused again.
+   */
   private static String retryAfter(ResultException failure, Instant now) {
     long millis = Math.max(0, Duration.between(now, retryAt(failure, now)).toMillis());
     return Long.toString(Math.max(1, (millis + 999) / 1000));
--- a/entry/src/main/java/dev/ibishub/entry/RequestRunner.java
+++ b/entry/src/main/java/dev/ibishub/entry/RequestRunner.java
@@ -47,7 +47,7 @@
 
   private final RequestContext context;
   private final CallerRequest request;
-  private final Answer answer;
+  private final AnswerWriter answer;
   private final FinishListener onFinished;
   private final SerialExecutor writer;
   private final RequestTracker tracker;
@@ -73,7 +73,10 @@
   }
 
   RequestRunner(
-      RequestContext context, CallerRequest request, Answer answer, FinishListener onFinished) {
+      RequestContext context,
+      CallerRequest request,
+      AnswerWriter answer,
+      FinishListener onFinished) {
     this.onFinished = onFinished;
     this.context = context;
     this.request = request;
@@ -151,7 +154,7 @@
     }
     closeAttempt(false);
     Instant giveUpAt =
-        answer.isJoinable()
+        answer.isResumable()
             ? context.clock().instant().plus(RETURN_PATIENCE)
             : context.clock().instant();
     String abandoned = attemptId;
@@ -377,7 +380,7 @@
         () -> {
           toCaller(
               () -> {
-                answer.piece(stream, number, data);
+                answer.writeChunk(stream, number, data);
                 if (!writer.hasWaiting()) {
                   answer.flush();
                 }
--- a/entry/src/main/java/dev/ibishub/entry/ServiceAnswerWriter.java
+++ b/entry/src/main/java/dev/ibishub/entry/ServiceAnswerWriter.java
@@ -10,9 +10,9 @@
 import java.util.Locale;
 import java.util.Set;
 
-/** A plain service's answer, passed on whole with its status and headers. */
-final class ServiceAnswerWriter implements Answer {
-  private static final Set<String> OF_THE_CONNECTION =
+/** Collects the answer of a plain service and sends it with the service's status and headers. */
+final class ServiceAnswerWriter implements AnswerWriter {
+  private static final Set<String> STRIPPED_HEADERS =
       Set.of("connection", "keep-alive", "transfer-encoding", "content-length", "upgrade", "date");
 
   private final HttpExchange exchange;
@@ -27,7 +27,7 @@
   }
 
   @Override
-  public void piece(String stream, long number, byte[] data) {
+  public void writeChunk(String stream, long number, byte[] data) {
     body.writeBytes(data);
   }
 
@@ -39,7 +39,7 @@
   @Override
   public void succeed(AnswerEnd end) throws IOException {
     end.headers().entrySet().stream()
-        .filter(header -> !OF_THE_CONNECTION.contains(header.getKey().toLowerCase(Locale.ROOT)))
+        .filter(header -> !STRIPPED_HEADERS.contains(header.getKey().toLowerCase(Locale.ROOT)))
         .forEach(header -> exchange.getResponseHeaders().put(header.getKey(), header.getValue()));
     String contentType =
         end.headers().entrySet().stream()
--- a/entry/src/main/java/dev/ibishub/entry/StreamedAnswer.java
+++ b/entry/src/main/java/dev/ibishub/entry/StreamedAnswerWriter.java
@@ -9,43 +9,46 @@
 import java.nio.charset.StandardCharsets;
 import java.time.InstantSource;
 
-/** A model's answer as server-sent events, each numbered, the end with count and checksum. */
-final class StreamedAnswer implements Answer {
+/**
+ * Writes a model's answer as server-sent events: one numbered event for each chunk, then an end
+ * event with the count and checksum of the chunks.
+ */
+final class StreamedAnswerWriter implements AnswerWriter {
   static final String CONTENT_TYPE = "text/event-stream; charset=utf-8";
   static final String STREAM_HEADER = "Ibishub-Stream";
 
   private final HttpExchange exchange;
   private final String requestId;
-  private final ModelAnswer form;
-  private final long firstWanted;
+  private final CompletionFormat format;
+  private final long firstChunk;
   private final InstantSource clock;
   private OutputStream out;
 
   /**
-   * Creates an answer.
+   * Creates a writer.
    *
-   * @param firstWanted number of the first piece that the caller lacks; earlier ones are not sent
+   * @param firstChunk number of the first chunk that the caller lacks; earlier chunks are not sent
    */
-  StreamedAnswer(
+  StreamedAnswerWriter(
       HttpExchange exchange,
       String requestId,
-      ModelAnswer form,
-      long firstWanted,
+      CompletionFormat format,
+      long firstChunk,
       InstantSource clock) {
     this.exchange = exchange;
     this.requestId = requestId;
-    this.form = form;
-    this.firstWanted = firstWanted;
+    this.format = format;
+    this.firstChunk = firstChunk;
     this.clock = clock;
   }
 
   @Override
-  public void piece(String stream, long number, byte[] data) throws IOException {
-    open(stream);
-    if (number < firstWanted) {
+  public void writeChunk(String stream, long number, byte[] data) throws IOException {
+    sendHeaders(stream);
+    if (number < firstChunk) {
       return;
     }
-    String chunk = form.chunk(new String(data, StandardCharsets.UTF_8)).toString();
+    String chunk = format.chunk(new String(data, StandardCharsets.UTF_8)).toString();
     append("id: " + number + "\ndata: " + chunk + "\n\n");
   }
 
@@ -55,7 +58,7 @@
   }
 
   @Override
-  public boolean isJoinable() {
+  public boolean isResumable() {
     return true;
   }
 
@@ -66,7 +69,7 @@
 
   @Override
   public void succeed(AnswerEnd end) throws IOException {
-    open("");
+    sendHeaders("");
     String totals =
         JsonNodeFactory.instance
             .objectNode()
@@ -89,7 +92,7 @@
     exchange.close();
   }
 
-  private void open(String stream) throws IOException {
+  private void sendHeaders(String stream) throws IOException {
     if (out != null) {
       return;
     }
--- a/entry/src/test/java/dev/ibishub/entry/RecordedAnswer.java
+++ b/entry/src/test/java/dev/ibishub/entry/RecordingAnswerWriter.java
@@ -8,22 +8,22 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A caller that notes all it gets, or that is gone. */
-final class RecordedAnswer implements Answer {
+/** Records what a caller receives; can simulate a caller that has disconnected. */
+final class RecordingAnswerWriter implements AnswerWriter {
   final List<String> events = new ArrayList<>();
-  boolean gone;
+  boolean disconnected;
   ResultCode failedWith;
 
   @Override
-  public void piece(String stream, long number, byte[] data) throws IOException {
-    if (gone) {
+  public void writeChunk(String stream, long number, byte[] data) throws IOException {
+    if (disconnected) {
       throw new IOException("connection reset");
     }
     events.add(number + ":" + new String(data, StandardCharsets.UTF_8));
   }
 
   @Override
-  public boolean isJoinable() {
+  public boolean isResumable() {
     return true;
   }
 
--- a/entry/src/test/java/dev/ibishub/entry/RequestRunnerTest.java
+++ b/entry/src/test/java/dev/ibishub/entry/RequestRunnerTest.java
@@ -32,7 +32,7 @@
   private Instant now = START;
   private final List<LaterTask> laterTasks = new ArrayList<>();
   private final List<ResultCode> finished = new ArrayList<>();
-  private final RecordedAnswer answer = new RecordedAnswer();
+  private final RecordingAnswerWriter answer = new RecordingAnswerWriter();
   private final Router router = Router.create(RouterOptions.defaults());
   private final TargetLinks links =
       new TargetLinks(
