--- a/entry/src/main/java/dev/ibishub/entry/AdminPages.java
+++ b/entry/src/main/java/dev/ibishub/entry/AdminPages.java
@@ -43,7 +43,7 @@
                 () ->
                     new ResultException(
                         ResultCode.UNAUTHENTICATED, "no operator has the token given"));
-    byte[] body = Http.body(exchange, settings.maximumBodyBytes());
+    byte[] body = HttpExchanges.readBody(exchange, settings.maximumBodyBytes());
     OperatorCall call =
         new OperatorCall(
             exchange.getRequestMethod(),
@@ -56,7 +56,7 @@
 
   private static void send(HttpExchange exchange, OperatorAnswer answer) {
     try {
-      Http.send(
+      HttpExchanges.send(
           exchange,
           answer.code().httpStatus(),
           answer.contentType(),
--- a/entry/src/main/java/dev/ibishub/entry/CallerPages.java
+++ b/entry/src/main/java/dev/ibishub/entry/CallerPages.java
@@ -104,32 +104,32 @@
                     .put("url", address.url())
                     .put("zone", address.zone())
                     .put("validUntil", address.validUntil().toString()));
-    Http.sendJson(exchange, 200, answer);
+    HttpExchanges.sendJson(exchange, 200, answer);
   }
 
   private void complete(HttpExchange exchange, String requestId, boolean chat) throws IOException {
     requireMethod(exchange, "POST");
     requireServing();
-    var origin = origin(exchange, requestId);
-    byte[] body = Http.body(exchange, settings.maximumBodyBytes());
-    var read = ModelRequests.read(body, chat, origin, configuration.get());
-    CompletionFormat format = new CompletionFormat(requestId, read.model(), chat);
+    var metadata = metadata(exchange, requestId);
+    byte[] body = HttpExchanges.readBody(exchange, settings.maximumBodyBytes());
+    var parsed = CompletionRequestParser.parse(body, chat, metadata, configuration.get());
+    CompletionFormat format = new CompletionFormat(requestId, parsed.model(), chat);
     AnswerWriter answer =
-        read.streamed()
+        parsed.streamed()
             ? new StreamedAnswerWriter(exchange, requestId, format, 0, context.clock())
             : new JsonAnswerWriter(exchange, requestId, format, context.clock());
-    runner(exchange, origin.workspace(), read.request(), answer).start();
+    runner(exchange, metadata.workspace(), parsed.request(), answer).start();
   }
 
   private void callService(HttpExchange exchange, String requestId) throws IOException {
     requireServing();
-    var origin = origin(exchange, requestId);
+    var metadata = metadata(exchange, requestId);
     Matcher path = SERVICE_PATH.matcher(exchange.getRequestURI().getRawPath());
     Service service = path.matches() ? configuration.get().services().get(path.group(1)) : null;
     if (service == null) {
       throw new ResultException(ResultCode.NOT_FOUND, "no such service at this site");
     }
-    byte[] body = Http.body(exchange, settings.maximumBodyBytes());
+    byte[] body = HttpExchanges.readBody(exchange, settings.maximumBodyBytes());
     String rest = path.group(2) == null ? "/" : path.group(2);
     boolean mayBeRepeated = service.mayBeRepeated(exchange.getRequestMethod(), rest);
     String key = Optional.ofNullable(header(exchange, "Idempotency-Key")).orElse("");
@@ -149,48 +149,49 @@
             .setIdempotencyKey(mayBeRepeated ? "" : key)
             .setMayBeRepeated(mayBeRepeated)
             .build();
-    Dispatch dispatch = ModelRequests.dispatch(origin, 1).setServiceCall(call).build();
+    Dispatch dispatch = CompletionRequestParser.dispatch(metadata, 1).setServiceCall(call).build();
     CallerRequest request =
         new CallerRequest(
             requestId,
-            origin.workspace().name(),
+            metadata.workspace().name(),
             "service:" + service.name(),
             0,
             1,
-            origin.deadline(),
+            metadata.deadline(),
             mayBeRepeated ? Repeatability.MAY_BE_REPEATED : Repeatability.ONCE_BY_CLAIM,
             true,
             dispatch);
     AnswerWriter answer = new ServiceAnswerWriter(exchange, requestId, context.clock());
-    runner(exchange, origin.workspace(), request, answer).start();
+    runner(exchange, metadata.workspace(), request, answer).start();
   }
 
   /** Joins ({@code GET}) or cancels ({@code DELETE}) a streamed answer. */
   private void stream(HttpExchange exchange, String requestId) throws IOException {
-    var origin = origin(exchange, requestId);
+    var metadata = metadata(exchange, requestId);
     String name = exchange.getRequestURI().getPath().substring(STREAM_PATH.length());
     StreamName stream = StreamName.decode(name);
     switch (exchange.getRequestMethod()) {
-      case "GET" -> join(exchange, origin, stream);
-      case "DELETE" -> cancel(exchange, origin, stream);
+      case "GET" -> join(exchange, metadata, stream);
+      case "DELETE" -> cancel(exchange, metadata, stream);
       default -> requireMethod(exchange, "GET or DELETE");
     }
   }
 
-  private void join(HttpExchange exchange, ModelRequests.Origin origin, StreamName stream) {
+  private void join(
+      HttpExchange exchange, CompletionRequestParser.RequestMetadata metadata, StreamName stream) {
     long from = firstChunk(exchange);
     CompletionFormat format =
-        new CompletionFormat(origin.requestId(), stream.model(), stream.chat());
+        new CompletionFormat(metadata.requestId(), stream.model(), stream.chat());
     AnswerWriter answer =
-        new StreamedAnswerWriter(exchange, origin.requestId(), format, from, context.clock());
+        new StreamedAnswerWriter(exchange, metadata.requestId(), format, from, context.clock());
     CallerRequest request =
         new CallerRequest(
-            origin.requestId(),
-            origin.workspace().name(),
+            metadata.requestId(),
+            metadata.workspace().name(),
             stream.model(),
             0,
             0,
-            origin.deadline(),
+            metadata.deadline(),
             Repeatability.ONCE,
             false,
             Dispatch.getDefaultInstance());
@@ -210,20 +211,21 @@
             });
   }
 
-  private void cancel(HttpExchange exchange, ModelRequests.Origin origin, StreamName stream)
+  private void cancel(
+      HttpExchange exchange, CompletionRequestParser.RequestMetadata metadata, StreamName stream)
       throws IOException {
     Frame cancel =
         Frame.newBuilder()
             .setCancel(
                 Cancel.newBuilder()
                     .setAttemptId(stream.attemptId())
-                    .setCallerWorkspace(origin.workspace().name()))
+                    .setCallerWorkspace(metadata.workspace().name()))
             .build();
     context.links().linkTo(stream.target()).thenAccept(link -> link.offer(cancel));
-    Http.sendJson(
+    HttpExchanges.sendJson(
         exchange,
         ResultCode.ACCEPTED.httpStatus(),
-        JsonNodeFactory.instance.objectNode().put("requestId", origin.requestId()));
+        JsonNodeFactory.instance.objectNode().put("requestId", metadata.requestId()));
   }
 
   private RequestRunner runner(
@@ -262,14 +264,16 @@
         workspace.priority(),
         request.estimatedTokens(),
         0,
-        context.router().estimatedStart(request.served(), now).orElse(now),
+        context.router().estimatedStart(request.servedName(), now).orElse(now),
         request.deadline());
   }
 
-  private ModelRequests.Origin origin(HttpExchange exchange, String requestId) {
+  private CompletionRequestParser.RequestMetadata metadata(
+      HttpExchange exchange, String requestId) {
     Workspace workspace = workspaces.of(exchange.getRequestHeaders());
     boolean acceptsRestart = "accept".equals(header(exchange, "Ibishub-Restart"));
-    return new ModelRequests.Origin(requestId, workspace, deadline(exchange), acceptsRestart);
+    return new CompletionRequestParser.RequestMetadata(
+        requestId, workspace, deadline(exchange), acceptsRestart);
   }
 
   private Instant deadline(HttpExchange exchange) {
--- a/entry/src/main/java/dev/ibishub/entry/CallerRequest.java
+++ b/entry/src/main/java/dev/ibishub/entry/CallerRequest.java
@@ -5,22 +5,22 @@
 import java.time.Instant;
 
 /**
- * One request as the entry understood it.
+ * Parsed and authenticated request of a caller, behind ibishub's own interface.
  *
- * @param requestId unique name
- * @param workspace whose it is
- * @param served the name that a target must serve
+ * @param requestId unique id
+ * @param workspace name of the workspace that the caller belongs to
+ * @param servedName the model or service that a target must serve
  * @param prefixHash hash of the prompt's prefix, 0 for none
- * @param estimatedTokens of prompt and answer
- * @param deadline after which the answer is no longer wanted
- * @param repeatability whether it may run more than once
- * @param acceptsRestart whether the caller takes an answer that starts anew
- * @param dispatch the message to the agent, less the attempt's id
+ * @param estimatedTokens estimated tokens of prompt and answer together
+ * @param deadline when the caller stops waiting for the answer
+ * @param repeatability whether the request may run more than once
+ * @param acceptsRestart whether the caller accepts an answer that starts over after some chunks
+ * @param dispatch the message to the agent, without the attempt's id
  */
 record CallerRequest(
     String requestId,
     String workspace,
-    String served,
+    String servedName,
     long prefixHash,
     double estimatedTokens,
     Instant deadline,
--- a/entry/src/main/java/dev/ibishub/entry/CallerServer.java
+++ b/entry/src/main/java/dev/ibishub/entry/CallerServer.java
@@ -86,7 +86,7 @@
       String requestId = idPrefix + Long.toString(lastId.incrementAndGet(), RADIX);
       exchange.getResponseHeaders().set(REQUEST_ID_HEADER, requestId);
       try {
-        Http.checkHeaders(exchange, settings.maximumHeaderBytes());
+        HttpExchanges.checkHeaders(exchange, settings.maximumHeaderBytes());
         page.handle(exchange, requestId);
       } catch (ResultException refusal) {
         refuse(exchange, refusal, requestId);
--- a/entry/src/main/java/dev/ibishub/entry/ModelRequests.java
+++ b/entry/src/main/java/dev/ibishub/entry/CompletionRequestParser.java
@@ -18,39 +18,41 @@
 import java.util.stream.Collectors;
 import java.util.stream.StreamSupport;
 
-/** Reads completion requests in the shape that callers' libraries send. */
-final class ModelRequests {
+/** Parses completion requests in the format that the client libraries of callers send. */
+final class CompletionRequestParser {
   private static final Pattern NAME =
       Pattern.compile("(?<model>[^@+]+)(@(?<version>[^@+]+))?(\\+(?<adapter>[^@+]+))?");
   private static final int DEFAULT_MAXIMUM_TOKENS = 256;
-  private static final int LARGEST_MAXIMUM_TOKENS = 1 << 20;
+  private static final int MAXIMUM_TOKENS_LIMIT = 1 << 20;
   private static final double CHARACTERS_PER_TOKEN = 4;
 
-  private ModelRequests() {}
+  private CompletionRequestParser() {}
 
   /**
-   * A request as read.
+   * Parsed completion request.
    *
-   * @param request for the runner
-   * @param model as the caller named it
-   * @param streamed whether pieces go out as they come
+   * @param request what the runner executes
+   * @param model the model's name as the caller wrote it
+   * @param streamed whether chunks are sent as they arrive
    */
-  record ModelRequest(CallerRequest request, String model, boolean streamed) {}
+  record ParsedRequest(CallerRequest request, String model, boolean streamed) {}
 
-  /** What is known of a request besides its body. */
-  record Origin(String requestId, Workspace workspace, Instant deadline, boolean acceptsRestart) {}
+  /** Properties of a request that do not come from its body. */
+  record RequestMetadata(
+      String requestId, Workspace workspace, Instant deadline, boolean acceptsRestart) {}
 
   /**
-   * Reads a request.
+   * Parses a request body.
    *
    * @throws ResultException with {@code MALFORMED_REQUEST} or {@code UNKNOWN_MODEL}
    */
-  static ModelRequest read(byte[] body, boolean chat, Origin origin, Configuration configuration)
+  static ParsedRequest parse(
+      byte[] body, boolean chat, RequestMetadata metadata, Configuration configuration)
       throws IOException {
-    JsonNode json = Http.object(body);
+    JsonNode json = HttpExchanges.readJsonObject(body);
     String name = text(json, "model");
-    Matcher parts = NAME.matcher(name);
-    if (!parts.matches() || !isServed(configuration, parts)) {
+    Matcher nameParts = NAME.matcher(name);
+    if (!nameParts.matches() || !isServed(configuration, nameParts)) {
       throw new ResultException(ResultCode.UNKNOWN_MODEL, "no model " + name + " at this site");
     }
     String prompt = chat ? messages(json) : text(json, "prompt");
@@ -58,44 +60,46 @@
     double estimatedTokens = prompt.length() / CHARACTERS_PER_TOKEN + maximumTokens;
     ModelCall.Builder call =
         ModelCall.newBuilder()
-            .setModel(parts.group("model"))
-            .setVersion(orEmpty(parts.group("version")))
-            .setAdapter(orEmpty(parts.group("adapter")))
+            .setModel(nameParts.group("model"))
+            .setVersion(orEmpty(nameParts.group("version")))
+            .setAdapter(orEmpty(nameParts.group("adapter")))
             .setChat(chat)
             .setBody(ByteString.copyFrom(body))
             .setMaximumTokens(maximumTokens)
             .setPrefixHash(prefixHash(prompt));
-    Dispatch dispatch = dispatch(origin, estimatedTokens).setModelCall(call).build();
+    Dispatch dispatch = dispatch(metadata, estimatedTokens).setModelCall(call).build();
     CallerRequest request =
         new CallerRequest(
-            origin.requestId(),
-            origin.workspace().name(),
+            metadata.requestId(),
+            metadata.workspace().name(),
             name,
             call.getPrefixHash(),
             estimatedTokens,
-            origin.deadline(),
+            metadata.deadline(),
             Repeatability.MAY_BE_REPEATED,
-            origin.acceptsRestart(),
+            metadata.acceptsRestart(),
             dispatch);
-    return new ModelRequest(request, name, json.path("stream").asBoolean(false));
+    return new ParsedRequest(request, name, json.path("stream").asBoolean(false));
   }
 
-  /** Begins the message to an agent with what all kinds of calls share. */
-  static Dispatch.Builder dispatch(Origin origin, double estimatedTokens) {
+  /** Returns a dispatch message with the fields that all kinds of calls share. */
+  static Dispatch.Builder dispatch(RequestMetadata metadata, double estimatedTokens) {
     return Dispatch.newBuilder()
-        .setRequestId(origin.requestId())
-        .setWorkspace(origin.workspace().name())
-        .setWeight(origin.workspace().weight())
-        .setPriority(origin.workspace().priority())
+        .setRequestId(metadata.requestId())
+        .setWorkspace(metadata.workspace().name())
+        .setWeight(metadata.workspace().weight())
+        .setPriority(metadata.workspace().priority())
         .setEstimatedTokens((long) Math.ceil(estimatedTokens))
-        .setDeadlineMillis(origin.deadline().toEpochMilli());
+        .setDeadlineMillis(metadata.deadline().toEpochMilli());
   }
 
-  private static boolean isServed(Configuration configuration, Matcher parts) {
-    Configuration.Model model = configuration.models().get(parts.group("model"));
+  private static boolean isServed(Configuration configuration, Matcher nameParts) {
+    Configuration.Model model = configuration.models().get(nameParts.group("model"));
     return model != null
-        && (parts.group("version") == null || model.versions().contains(parts.group("version")))
-        && (parts.group("adapter") == null || model.adapters().contains(parts.group("adapter")));
+        && (nameParts.group("version") == null
+            || model.versions().contains(nameParts.group("version")))
+        && (nameParts.group("adapter") == null
+            || model.adapters().contains(nameParts.group("adapter")));
   }
 
   private static String text(JsonNode json, String key) {
@@ -123,15 +127,18 @@
     if (value.isMissingNode() || value.isNull()) {
       return DEFAULT_MAXIMUM_TOKENS;
     }
-    if (!value.isInt() || value.asInt() < 1 || value.asInt() > LARGEST_MAXIMUM_TOKENS) {
+    if (!value.isInt() || value.asInt() < 1 || value.asInt() > MAXIMUM_TOKENS_LIMIT) {
       throw new ResultException(
           ResultCode.MALFORMED_REQUEST,
-          "\"max_tokens\" must be a whole number from 1 to " + LARGEST_MAXIMUM_TOKENS);
+          "\"max_tokens\" must be a whole number from 1 to " + MAXIMUM_TOKENS_LIMIT);
     }
     return value.asInt();
   }
 
-  /** Hash of the shortest prefix that engines report, which prompts with one head share; or 0. */
+  /**
+   * Returns the hash of the shortest prefix that engines report, or 0 for a shorter prompt; prompts
+   * that begin alike share this hash.
+   */
   private static long prefixHash(String prompt) {
     List<Integer> lengths = PromptPrefix.lengths(prompt);
     return lengths.isEmpty() ? 0 : PromptPrefix.hash(prompt, lengths.get(0));
--- a/entry/src/main/java/dev/ibishub/entry/Http.java
+++ b/entry/src/main/java/dev/ibishub/entry/HttpExchanges.java
@@ -12,17 +12,20 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Optional;
 
-/** What all pages of the entry do with HTTP. */
-final class Http {
+/** HTTP helpers that all endpoints of the entry share. */
+final class HttpExchanges {
   static final ObjectMapper JSON = new ObjectMapper();
   static final String JSON_TYPE = "application/json";
 
-  private static final String BEARER = "Bearer ";
+  private static final String BEARER_PREFIX = "Bearer ";
 
-  private Http() {}
+  private HttpExchanges() {}
 
-  /** Reads the whole body; a longer one fails with {@code TOO_LARGE} before it is kept. */
-  static byte[] body(HttpExchange exchange, int maximumBytes) throws IOException {
+  /**
+   * Reads the complete body; fails with {@code TOO_LARGE} if it is longer than allowed, after
+   * reading at most one byte beyond the limit.
+   */
+  static byte[] readBody(HttpExchange exchange, int maximumBytes) throws IOException {
     InputStream in = exchange.getRequestBody();
     byte[] body = in.readNBytes(maximumBytes + 1);
     if (body.length > maximumBytes) {
@@ -32,7 +35,9 @@
     return body;
   }
 
-  /** Fails with {@code TOO_LARGE} when the headers are longer than allowed. */
+  /**
+   * Checks the total length of the headers; fails with {@code TOO_LARGE} when it is over the limit.
+   */
   static void checkHeaders(HttpExchange exchange, int maximumBytes) {
     long length =
         exchange.getRequestHeaders().entrySet().stream()
@@ -48,8 +53,8 @@
     }
   }
 
-  /** Reads a JSON object; anything else fails with {@code MALFORMED_REQUEST}. */
-  static JsonNode object(byte[] body) throws IOException {
+  /** Parses a JSON object; anything else fails with {@code MALFORMED_REQUEST}. */
+  static JsonNode readJsonObject(byte[] body) throws IOException {
     try {
       JsonNode node = JSON.readTree(body);
       if (node != null && node.isObject()) {
@@ -66,14 +71,14 @@
     throw new ResultException(ResultCode.MALFORMED_REQUEST, "the body is no JSON object");
   }
 
-  /** Returns the bearer token, if the request has one. */
-  static Optional<String> bearer(Headers headers) {
+  /** Returns the bearer token, or empty if the request has none. */
+  static Optional<String> bearerToken(Headers headers) {
     return Optional.ofNullable(headers.getFirst("Authorization"))
-        .filter(value -> value.startsWith(BEARER))
-        .map(value -> value.substring(BEARER.length()));
+        .filter(value -> value.startsWith(BEARER_PREFIX))
+        .map(value -> value.substring(BEARER_PREFIX.length()));
   }
 
-  /** Sends a whole answer and closes the exchange. */
+  /** Sends a complete response and closes the exchange. */
   static void send(HttpExchange exchange, int status, String contentType, byte[] body)
       throws IOException {
     try (exchange) {
--- a/entry/src/main/java/dev/ibishub/entry/JsonAnswerWriter.java
+++ b/entry/src/main/java/dev/ibishub/entry/JsonAnswerWriter.java
@@ -36,7 +36,7 @@
 
   @Override
   public void succeed(AnswerEnd end) throws IOException {
-    Http.sendJson(
+    HttpExchanges.sendJson(
         exchange, 200, format.completion(text.toString(StandardCharsets.UTF_8), end.usedTokens()));
   }
 
--- a/entry/src/main/java/dev/ibishub/entry/Problem.java
+++ b/entry/src/main/java/dev/ibishub/entry/Problem.java
@@ -32,7 +32,7 @@
     if (failure.code().retry() == ResultCode.Retry.LATER) {
       exchange.getResponseHeaders().set("Retry-After", retryAfter(failure, now));
     }
-    Http.send(exchange, failure.code().httpStatus(), ProblemDocument.CONTENT_TYPE, body);
+    HttpExchanges.send(exchange, failure.code().httpStatus(), ProblemDocument.CONTENT_TYPE, body);
   }
 
   private static Instant retryAt(ResultException failure, Instant now) {
--- a/entry/src/main/java/dev/ibishub/entry/RequestContext.java
+++ b/entry/src/main/java/dev/ibishub/entry/RequestContext.java
@@ -41,6 +41,6 @@
 
   String streamName(CallerRequest request, String target, String attemptId) {
     var call = request.dispatch().getModelCall();
-    return new StreamName(target, attemptId, request.served(), call.getChat()).encode();
+    return new StreamName(target, attemptId, request.servedName(), call.getChat()).encode();
   }
 }
--- a/entry/src/main/java/dev/ibishub/entry/RequestRunner.java
+++ b/entry/src/main/java/dev/ibishub/entry/RequestRunner.java
@@ -181,7 +181,7 @@
   private Optional<String> choose(Instant now) {
     RouteQuery query =
         new RouteQuery(
-            request.served(),
+            request.servedName(),
             context.zone(),
             request.prefixHash(),
             request.estimatedTokens(),
@@ -424,7 +424,7 @@
         LogEvent.of("request.finished")
             .request(request.requestId())
             .with("workspace", request.workspace())
-            .with("served", request.served())
+            .with("served", request.servedName())
             .with("attempts", attemptCount)
             .with("target", target)
             .with("millis", Duration.between(startedAt, now).toMillis())
--- a/entry/src/main/java/dev/ibishub/entry/ServiceAnswerWriter.java
+++ b/entry/src/main/java/dev/ibishub/entry/ServiceAnswerWriter.java
@@ -48,7 +48,7 @@
             .findFirst()
             .orElse("application/octet-stream");
     exchange.getResponseHeaders().put("Content-Type", List.of(contentType));
-    Http.send(exchange, end.httpStatus(), contentType, body.toByteArray());
+    HttpExchanges.send(exchange, end.httpStatus(), contentType, body.toByteArray());
   }
 
   @Override
--- a/entry/src/main/java/dev/ibishub/entry/StreamName.java
+++ b/entry/src/main/java/dev/ibishub/entry/StreamName.java
@@ -8,16 +8,16 @@
 import java.util.regex.Pattern;
 
 /**
- * The name under which a caller joins a streamed answer again, at any entry. It tells that entry
- * which agent has the answer, so no entry needs to remember anything.
+ * Name under which a caller resumes a streamed answer, at any entry. It encodes which agent keeps
+ * the answer, so entries need no state for it.
  *
- * @param target whose agent has the answer
- * @param attemptId the attempt
- * @param model as the caller named it
- * @param chat whether the answer has the shape of a chat
+ * @param target the target whose agent keeps the answer
+ * @param attemptId id of the attempt
+ * @param model the model's name as the caller wrote it
+ * @param chat whether the answer is in the format of a chat completion
  */
 record StreamName(String target, String attemptId, String model, boolean chat) {
-  private static final Pattern FORM = Pattern.compile("([^|]+)\\|([^|]+)\\|([^|]+)\\|([ct])");
+  private static final Pattern FORMAT = Pattern.compile("([^|]+)\\|([^|]+)\\|([^|]+)\\|([ct])");
 
   String encode() {
     String plain = target + "|" + attemptId + "|" + model + "|" + (chat ? "c" : "t");
@@ -27,7 +27,7 @@
   }
 
   static StreamName decode(String text) {
-    Matcher parts = FORM.matcher(plain(text));
+    Matcher parts = FORMAT.matcher(decodeBase64(text));
     if (!parts.matches()) {
       throw malformed();
     }
@@ -35,7 +35,7 @@
         parts.group(1), parts.group(2), parts.group(3), parts.group(4).equals("c"));
   }
 
-  private static String plain(String text) {
+  private static String decodeBase64(String text) {
     try {
       return new String(Base64.getUrlDecoder().decode(text), StandardCharsets.UTF_8);
     } catch (IllegalArgumentException e) {
--- a/entry/src/main/java/dev/ibishub/entry/Workspaces.java
+++ b/entry/src/main/java/dev/ibishub/entry/Workspaces.java
@@ -38,7 +38,7 @@
       throw new ResultException(ResultCode.NOT_READY, "this entry has no configuration yet");
     }
     Map<String, Workspace> byKey = keysOf(current);
-    return Http.bearer(headers)
+    return HttpExchanges.bearerToken(headers)
         .map(Workspaces::sha256)
         .flatMap(hash -> Optional.ofNullable(byKey.get(hash)))
         .orElseThrow(
