--- a/entry/src/main/java/dev/ibishub/entry/CallerPages.java
+++ b/entry/src/main/java/dev/ibishub/entry/CallerEndpoints.java
@@ -36,11 +36,14 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** The pages for callers. Thread-safe. */
-final class CallerPages {
+/**
+ * HTTP endpoints for callers: completions, plain services, streams and the address list.
+ * Thread-safe.
+ */
+final class CallerEndpoints {
   private static final Pattern SERVICE_PATH = Pattern.compile("/services/([^/]+)(/.*)?");
   private static final String STREAM_PATH = "/v1/streams/";
-  private static final Set<String> KEPT_BY_ENTRY =
+  private static final Set<String> STRIPPED_REQUEST_HEADERS =
       Set.of(
           "authorization",
           "connection",
@@ -63,7 +66,7 @@
   private final BooleanSupplier serving;
   private final EntryMetrics metrics;
 
-  CallerPages(
+  CallerEndpoints(
       EntrySettings settings,
       RequestContext context,
       CallerServer server,
@@ -84,12 +87,12 @@
     this.metrics = metrics;
   }
 
-  void addTo(CallerServer pages) {
-    pages.add("/v1/addresses", this::addresses);
-    pages.add("/v1/completions", (exchange, id) -> complete(exchange, id, false));
-    pages.add("/v1/chat/completions", (exchange, id) -> complete(exchange, id, true));
-    pages.add(STREAM_PATH, this::stream);
-    pages.add("/services/", this::callService);
+  void addTo(CallerServer callerServer) {
+    callerServer.add("/v1/addresses", this::addresses);
+    callerServer.add("/v1/completions", (exchange, id) -> complete(exchange, id, false));
+    callerServer.add("/v1/chat/completions", (exchange, id) -> complete(exchange, id, true));
+    callerServer.add(STREAM_PATH, this::stream);
+    callerServer.add("/services/", this::callService);
   }
 
   private void addresses(HttpExchange exchange, String requestId) throws IOException {
@@ -118,7 +121,7 @@
         parsed.streamed()
             ? new StreamedAnswerWriter(exchange, requestId, format, 0, context.clock())
             : new JsonAnswerWriter(exchange, requestId, format, context.clock());
-    runner(exchange, metadata.workspace(), parsed.request(), answer).start();
+    admittedRunner(exchange, metadata.workspace(), parsed.request(), answer).start();
   }
 
   private void callService(HttpExchange exchange, String requestId) throws IOException {
@@ -130,8 +133,8 @@
       throw new ResultException(ResultCode.NOT_FOUND, "no such service at this site");
     }
     byte[] body = HttpExchanges.readBody(exchange, settings.maximumBodyBytes());
-    String rest = path.group(2) == null ? "/" : path.group(2);
-    boolean mayBeRepeated = service.mayBeRepeated(exchange.getRequestMethod(), rest);
+    String servicePath = path.group(2) == null ? "/" : path.group(2);
+    boolean mayBeRepeated = service.mayBeRepeated(exchange.getRequestMethod(), servicePath);
     String key = Optional.ofNullable(header(exchange, "Idempotency-Key")).orElse("");
     if (!mayBeRepeated && key.isEmpty()) {
       throw new ResultException(
@@ -143,7 +146,7 @@
         ServiceCall.newBuilder()
             .setService(service.name())
             .setMethod(exchange.getRequestMethod())
-            .setPathAndQuery(query == null ? rest : rest + "?" + query)
+            .setPathAndQuery(query == null ? servicePath : servicePath + "?" + query)
             .addAllHeaders(AnswerEnds.headersToWire(endToEndHeaders(exchange)))
             .setBody(ByteString.copyFrom(body))
             .setIdempotencyKey(mayBeRepeated ? "" : key)
@@ -162,10 +165,10 @@
             true,
             dispatch);
     AnswerWriter answer = new ServiceAnswerWriter(exchange, requestId, context.clock());
-    runner(exchange, metadata.workspace(), request, answer).start();
+    admittedRunner(exchange, metadata.workspace(), request, answer).start();
   }
 
-  /** Joins ({@code GET}) or cancels ({@code DELETE}) a streamed answer. */
+  /** Resumes ({@code GET}) or cancels ({@code DELETE}) a streamed answer. */
   private void stream(HttpExchange exchange, String requestId) throws IOException {
     var metadata = metadata(exchange, requestId);
     String name = exchange.getRequestURI().getPath().substring(STREAM_PATH.length());
@@ -195,9 +198,9 @@
             Repeatability.ONCE,
             false,
             Dispatch.getDefaultInstance());
-    Runnable giveBack = server.takePlace(exchange);
+    Runnable releaseSlot = server.acquireSlot(exchange);
     RequestRunner runner =
-        new RequestRunner(context, request, answer, (code, tokens) -> giveBack.run());
+        new RequestRunner(context, request, answer, (code, tokens) -> releaseSlot.run());
     context
         .links()
         .linkTo(stream.target())
@@ -228,13 +231,13 @@
         JsonNodeFactory.instance.objectNode().put("requestId", metadata.requestId()));
   }
 
-  private RequestRunner runner(
+  private RequestRunner admittedRunner(
       HttpExchange exchange, Workspace workspace, CallerRequest request, AnswerWriter answer) {
-    Runnable giveBack = server.takePlace(exchange);
+    Runnable releaseSlot = server.acquireSlot(exchange);
     Instant now = context.clock().instant();
     AdmissionDecision decision = admission.admit(query(workspace, request, now), now);
     if (!decision.admitted()) {
-      giveBack.run();
+      releaseSlot.run();
       metrics.refused(decision.code());
       throw new ResultException(decision.code(), "not admitted", decision.retryAt().orElse(null));
     }
@@ -244,7 +247,7 @@
         request,
         answer,
         (code, usedTokens) -> {
-          giveBack.run();
+          releaseSlot.run();
           Instant end = context.clock().instant();
           admission.finished(workspace.name(), request.estimatedTokens(), usedTokens, end);
           metrics.finished(code, now, end);
@@ -283,8 +286,8 @@
       return latest;
     }
     try {
-      Instant wanted = Instant.parse(given);
-      return wanted.isBefore(latest) ? wanted : latest;
+      Instant requested = Instant.parse(given);
+      return requested.isBefore(latest) ? requested : latest;
     } catch (DateTimeException e) {
       throw new ResultException(
           ResultCode.MALFORMED_REQUEST,
@@ -319,7 +322,8 @@
 
   private static Map<String, List<String>> endToEndHeaders(HttpExchange exchange) {
     return exchange.getRequestHeaders().entrySet().stream()
-        .filter(header -> !KEPT_BY_ENTRY.contains(header.getKey().toLowerCase(Locale.ROOT)))
+        .filter(
+            header -> !STRIPPED_REQUEST_HEADERS.contains(header.getKey().toLowerCase(Locale.ROOT)))
         .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
   }
 
--- a/entry/src/main/java/dev/ibishub/entry/CallerServer.java
+++ b/entry/src/main/java/dev/ibishub/entry/CallerServer.java
@@ -16,12 +16,15 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What every page for callers and operators shares: ids, limits and failures. Thread-safe. */
+/**
+ * HTTP server for callers and operators, behind ibishub's own interface. Gives each request an id,
+ * limits headers and requests in flight, and turns failures into problem responses. Thread-safe.
+ */
 final class CallerServer {
   static final String REQUEST_ID_HEADER = "Ibishub-Request-Id";
 
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final int RADIX = 36;
+  private static final int ID_RADIX = 36;
 
   private final HttpServer server;
   private final EntrySettings settings;
@@ -31,9 +34,9 @@
   private final AtomicInteger inFlight = new AtomicInteger();
   private final Map<InetAddress, AtomicInteger> inFlightByCaller = new ConcurrentHashMap<>();
 
-  /** A page; it may leave the exchange open and end it later. */
+  /** Handles the requests of one path; may return with the exchange open and end it later. */
   @FunctionalInterface
-  interface Page {
+  interface Endpoint {
     void handle(HttpExchange exchange, String requestId) throws IOException;
   }
 
@@ -41,68 +44,71 @@
     this.server = server;
     this.settings = settings;
     this.clock = clock;
-    this.idPrefix = settings.processId() + "-" + Long.toString(incarnation, RADIX) + "-";
+    this.idPrefix = settings.processId() + "-" + Long.toString(incarnation, ID_RADIX) + "-";
   }
 
-  /** Adds a page. */
-  void add(String path, Page page) {
-    server.createContext(path, handler(page));
+  void add(String path, Endpoint endpoint) {
+    server.createContext(path, handler(endpoint));
   }
 
-  /** Requests that have a place, see {@link #takePlace}. */
+  /** Returns the number of requests that hold a slot, see {@link #acquireSlot}. */
   int inFlight() {
     return inFlight.get();
   }
 
   /**
-   * Takes a place among the requests in flight. One caller's flood must not use up the places of
-   * all others, so each address has a bound of its own.
+   * Acquires a slot for a request in flight. Each caller address has a limit of its own, so that a
+   * flood from one caller cannot use up the slots of all others.
    *
-   * @return gives the place back, once
-   * @throws ResultException with {@code OVERLOADED}
+   * @return releases the slot; to be run exactly once
+   * @throws ResultException with {@code OVERLOADED} if the entry or the caller is at its limit
    */
-  Runnable takePlace(HttpExchange exchange) {
+  Runnable acquireSlot(HttpExchange exchange) {
     InetAddress caller = exchange.getRemoteAddress().getAddress();
-    AtomicInteger ofCaller = inFlightByCaller.computeIfAbsent(caller, key -> new AtomicInteger());
-    boolean callerFull = ofCaller.incrementAndGet() > settings.maximumStreamsPerCaller();
-    boolean full = inFlight.incrementAndGet() > settings.maximumConcurrentStreams();
-    Runnable giveBack =
+    AtomicInteger callerInFlight =
+        inFlightByCaller.computeIfAbsent(caller, key -> new AtomicInteger());
+    boolean callerAtLimit = callerInFlight.incrementAndGet() > settings.maximumStreamsPerCaller();
+    boolean entryAtLimit = inFlight.incrementAndGet() > settings.maximumConcurrentStreams();
+    Runnable releaseSlot =
         () -> {
           inFlight.decrementAndGet();
-          ofCaller.decrementAndGet();
+          callerInFlight.decrementAndGet();
         };
-    if (full || callerFull) {
-      giveBack.run();
+    if (entryAtLimit || callerAtLimit) {
+      releaseSlot.run();
       throw new ResultException(
           ResultCode.OVERLOADED,
-          full ? "this entry has its most requests in flight" : "too many requests of this caller",
+          entryAtLimit
+              ? "this entry has its most requests in flight"
+              : "too many requests of this caller",
           clock.instant().plusSeconds(1));
     }
-    return giveBack;
+    return releaseSlot;
   }
 
-  private HttpHandler handler(Page page) {
+  private HttpHandler handler(Endpoint endpoint) {
     return exchange -> {
-      String requestId = idPrefix + Long.toString(lastId.incrementAndGet(), RADIX);
+      String requestId = idPrefix + Long.toString(lastId.incrementAndGet(), ID_RADIX);
       exchange.getResponseHeaders().set(REQUEST_ID_HEADER, requestId);
       try {
         HttpExchanges.checkHeaders(exchange, settings.maximumHeaderBytes());
-        page.handle(exchange, requestId);
-      } catch (ResultException refusal) {
-        refuse(exchange, refusal, requestId);
+        endpoint.handle(exchange, requestId);
+      } catch (ResultException failure) {
+        sendProblem(exchange, failure, requestId);
       } catch (IOException e) {
         exchange.close();
       } catch (RuntimeException e) {
         logger.atSevere().withCause(e).log("%s", LogEvent.of("request.broke").request(requestId));
-        refuse(exchange, new ResultException(ResultCode.INTERNAL, "internal error"), requestId);
+        sendProblem(
+            exchange, new ResultException(ResultCode.INTERNAL, "internal error"), requestId);
       }
     };
   }
 
-  private void refuse(HttpExchange exchange, ResultException refusal, String requestId)
+  private void sendProblem(HttpExchange exchange, ResultException failure, String requestId)
       throws IOException {
     logger.atInfo().log(
-        "%s", LogEvent.of("request.refused").request(requestId).code(refusal.code()));
-    Problem.send(exchange, refusal, requestId, clock.instant());
+        "%s", LogEvent.of("request.refused").request(requestId).code(failure.code()));
+    Problem.send(exchange, failure, requestId, clock.instant());
   }
 }
--- a/entry/src/main/java/dev/ibishub/entry/Entry.java
+++ b/entry/src/main/java/dev/ibishub/entry/Entry.java
@@ -180,7 +180,7 @@
 
   private void addPages(OrderDesk orders) {
     callerPages().addTo(server);
-    new AdminPages(settings, operatorApi(orders)).addTo(server);
+    new OperatorEndpoints(settings, operatorApi(orders)).addTo(server);
     MetricsPage.addTo(http, metrics.registry(), this::isReady);
     metrics.gauge("ibishub_entry_in_flight", "Requests in flight.", server::inFlight);
     metrics.gauge("ibishub_entry_targets", "Links to agents.", targets::openLinks);
@@ -191,7 +191,7 @@
         () -> configuration.current().revision());
   }
 
-  private CallerPages callerPages() {
+  private CallerEndpoints callerPages() {
     RequestContext context =
         new RequestContext(
             settings.zone(),
@@ -203,7 +203,7 @@
             this::at,
             threads,
             () -> ThreadLocalRandom.current().nextLong());
-    return new CallerPages(
+    return new CallerEndpoints(
         settings,
         context,
         server,
@@ -254,7 +254,7 @@
   }
 
   private OperatorApi operatorApi(OrderDesk orders) {
-    StatusPage status = new StatusPage(configuration, membership, targets, clock);
+    StatusDocument status = new StatusDocument(configuration, membership, targets, clock);
     return OperatorApi.create(
         configuration, publisher, AuditTrail.on(log), orders, status::json, clock);
   }
--- a/entry/src/main/java/dev/ibishub/entry/AdminPages.java
+++ b/entry/src/main/java/dev/ibishub/entry/OperatorEndpoints.java
@@ -17,22 +17,22 @@
 import java.util.Optional;
 import java.util.stream.Collectors;
 
-/** Puts the operator API on HTTP. Thread-safe. */
-final class AdminPages {
+/** HTTP endpoints of the operator API. Thread-safe. */
+final class OperatorEndpoints {
   private static final String PREFIX = "/admin/v1";
 
   private final EntrySettings settings;
   private final OperatorTokens tokens;
   private final OperatorApi api;
 
-  AdminPages(EntrySettings settings, OperatorApi api) {
+  OperatorEndpoints(EntrySettings settings, OperatorApi api) {
     this.settings = settings;
     this.tokens = OperatorTokens.of(settings.operators());
     this.api = api;
   }
 
-  void addTo(CallerServer pages) {
-    pages.add(PREFIX + "/", this::answer);
+  void addTo(CallerServer callerServer) {
+    callerServer.add(PREFIX + "/", this::answer);
   }
 
   private void answer(HttpExchange exchange, String requestId) throws IOException {
@@ -62,7 +62,7 @@
           answer.contentType(),
           answer.body().getBytes(StandardCharsets.UTF_8));
     } catch (IOException e) {
-      // The operator is gone; what the call did stands in the audit trail.
+      // The operator has disconnected; the audit trail records what the call did.
       exchange.close();
     }
   }
--- a/entry/src/main/java/dev/ibishub/entry/StatusPage.java
+++ b/entry/src/main/java/dev/ibishub/entry/StatusDocument.java
@@ -13,14 +13,14 @@
 import java.util.Comparator;
 import java.util.Locale;
 
-/** The status of site, entries and targets, as this entry sees them. Thread-safe. */
-final class StatusPage {
+/** Status of the site, its entries and its targets as JSON, as seen by this entry. Thread-safe. */
+final class StatusDocument {
   private final ConfigurationFollower configuration;
   private final Membership membership;
   private final TargetLinks targets;
   private final InstantSource clock;
 
-  StatusPage(
+  StatusDocument(
       ConfigurationFollower configuration,
       Membership membership,
       TargetLinks targets,
