--- a/entry/src/main/java/dev/ibishub/entry/CallerEndpoints.java
+++ b/entry/src/main/java/dev/ibishub/entry/CallerEndpoints.java
@@ -174,13 +174,13 @@
     String name = exchange.getRequestURI().getPath().substring(STREAM_PATH.length());
     StreamName stream = StreamName.decode(name);
     switch (exchange.getRequestMethod()) {
-      case "GET" -> join(exchange, metadata, stream);
+      case "GET" -> resume(exchange, metadata, stream);
       case "DELETE" -> cancel(exchange, metadata, stream);
       default -> requireMethod(exchange, "GET or DELETE");
     }
   }
 
-  private void join(
+  private void resume(
       HttpExchange exchange, CompletionRequestParser.RequestMetadata metadata, StreamName stream) {
     long from = firstChunk(exchange);
     CompletionFormat format =
@@ -207,9 +207,9 @@
         .whenComplete(
             (link, failure) -> {
               if (failure == null) {
-                runner.join(link, stream);
+                runner.resume(link, stream);
               } else {
-                runner.cannotJoin();
+                runner.failResume();
               }
             });
   }
--- a/entry/src/main/java/dev/ibishub/entry/Entry.java
+++ b/entry/src/main/java/dev/ibishub/entry/Entry.java
@@ -200,7 +200,7 @@
             router,
             RetryBudget.defaults(),
             clock,
-            this::at,
+            this::schedule,
             threads,
             () -> ThreadLocalRandom.current().nextLong());
     return new CallerEndpoints(
@@ -284,7 +284,7 @@
                     machines.stream().map(Members::fromList).toList(), clock.instant()));
   }
 
-  private void at(Instant when, Runnable task) {
+  private void schedule(Instant when, Runnable task) {
     long millis = Math.max(0, Duration.between(clock.instant(), when).toMillis());
     var unused = timers.schedule(guarded(task), millis, TimeUnit.MILLISECONDS);
   }
--- a/entry/src/main/java/dev/ibishub/entry/RequestContext.java
+++ b/entry/src/main/java/dev/ibishub/entry/RequestContext.java
@@ -11,17 +11,17 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What all requests of an entry share.
+ * Collaborators that all requests of an entry share, behind ibishub's own interface.
  *
- * @param zone of this entry
- * @param links to the agents
- * @param linkTo opens a link to a target, also one that this entry keeps none to
+ * @param zone failure domain of this entry
+ * @param links links to the agents
+ * @param linkTo returns the link to a target, connecting first if none is open
  * @param router chooses targets
- * @param retries bounds attempts beyond the first
+ * @param retries limits the attempts beyond the first of each request
  * @param clock the time
- * @param timers runs tasks later
- * @param threads writes to callers
- * @param random for choices
+ * @param timers runs tasks at a later time
+ * @param threads runs the writes to callers, which may block
+ * @param random randomness for the choice of targets
  */
 record RequestContext(
     String zone,
@@ -33,10 +33,10 @@
     Timers timers,
     Executor threads,
     RandomGenerator random) {
-  /** Runs a task at a time or soon after, on another thread. */
+  /** Schedules a task to run on another thread, at a given time or soon after. */
   @FunctionalInterface
   interface Timers {
-    void at(Instant when, Runnable task);
+    void schedule(Instant when, Runnable task);
   }
 
   String streamName(CallerRequest request, String target, String attemptId) {
--- a/entry/src/main/java/dev/ibishub/entry/RequestRunner.java
+++ b/entry/src/main/java/dev/ibishub/entry/RequestRunner.java
@@ -27,31 +27,31 @@
 import java.util.Set;
 
 /**
- * Sees one request through: chooses targets, makes attempts, puts the answer together and gives the
- * final result. Thread-safe: I/O threads and timers come in under one lock, and the caller is
- * written to in order outside of it.
+ * Runs one request to its final result: chooses targets, makes attempts and assembles the answer.
+ * Thread-safe: I/O threads and timers enter under one lock, and writes to the caller are queued in
+ * order and run outside of it.
  */
 final class RequestRunner implements TargetLinks.AttemptListener {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Chunks that an agent may send ahead of the caller. */
-  static final int WINDOW = 64;
+  /** Flow-control window: chunks that an agent may send before the caller has taken them. */
+  static final int CREDIT_WINDOW_CHUNKS = 64;
 
-  private static final int ASSEMBLER_WINDOW = 1 << 16;
-  private static final int CREDIT_BATCH = 16;
+  private static final int REORDER_WINDOW_CHUNKS = 1 << 16;
+  private static final int CREDIT_BATCH_CHUNKS = 16;
   private static final int MAXIMUM_ATTEMPTS = 8;
-  private static final Duration REJOIN_PATIENCE = Duration.ofSeconds(4);
-  private static final Duration REJOIN_PAUSE = Duration.ofMillis(100);
-  private static final Duration RETURN_PATIENCE = Duration.ofSeconds(10);
+  private static final Duration REATTACH_TIMEOUT = Duration.ofSeconds(4);
+  private static final Duration REATTACH_INTERVAL = Duration.ofMillis(100);
+  private static final Duration RESUME_GRACE = Duration.ofSeconds(10);
   private static final Duration DEADLINE_MARGIN = Duration.ofMillis(200);
 
   private final RequestContext context;
   private final CallerRequest request;
   private final AnswerWriter answer;
-  private final FinishListener onFinished;
-  private final SerialExecutor writer;
+  private final FinishListener finishListener;
+  private final SerialExecutor writeQueue;
   private final RequestTracker tracker;
-  private final Set<String> excluded = new HashSet<>();
+  private final Set<String> excludedTargets = new HashSet<>();
   private final Instant startedAt;
   private Optional<Instant> retryAt = Optional.empty();
   private int attemptCount;
@@ -61,12 +61,12 @@
   private AnswerAssembler assembler;
   private AnswerEnd lastEnd;
   private long attemptIncarnation;
-  private Instant attemptAt;
-  private Instant rejoinUntil;
+  private Instant attemptStartedAt;
+  private Instant reattachUntil;
   private boolean delivered;
   private boolean ended;
 
-  /** Told once how the request ended and how many tokens it used. */
+  /** Receives the final result code and the number of tokens used, once. */
   @FunctionalInterface
   interface FinishListener {
     void accept(ResultCode code, double usedTokens);
@@ -76,12 +76,12 @@
       RequestContext context,
       CallerRequest request,
       AnswerWriter answer,
-      FinishListener onFinished) {
-    this.onFinished = onFinished;
+      FinishListener finishListener) {
+    this.finishListener = finishListener;
     this.context = context;
     this.request = request;
     this.answer = answer;
-    this.writer = new SerialExecutor(context.threads());
+    this.writeQueue = new SerialExecutor(context.threads());
     this.tracker = RequestTracker.of(request.repeatability(), request.deadline());
     this.startedAt = context.clock().instant();
     if (request.acceptsRestart()) {
@@ -89,25 +89,25 @@
     }
   }
 
-  /** Begins; the answer comes on other threads. */
+  /** Starts the first attempt; the answer is written on other threads. */
   synchronized void start() {
-    context.timers().at(request.deadline().plus(DEADLINE_MARGIN), this::deadlinePassed);
+    context.timers().schedule(request.deadline().plus(DEADLINE_MARGIN), this::onDeadlinePassed);
     context.retries().onRequest();
     attempt();
   }
 
-  /** Joins an answer that an agent keeps, instead of asking for a new one. */
-  synchronized void join(Link link, StreamName stream) {
-    context.timers().at(request.deadline().plus(DEADLINE_MARGIN), this::deadlinePassed);
-    open(link, stream.attemptId());
+  /** Resumes an answer that an agent keeps, instead of starting a new attempt. */
+  synchronized void resume(Link link, StreamName stream) {
+    context.timers().schedule(request.deadline().plus(DEADLINE_MARGIN), this::onDeadlinePassed);
+    openAttempt(link, stream.attemptId());
     if (!attach(link)) {
       closeAttempt(true);
-      cannotJoin();
+      failResume();
     }
   }
 
-  /** Ends a join whose agent cannot be reached. */
-  synchronized void cannotJoin() {
+  /** Fails a resumption whose agent cannot be reached. */
+  synchronized void failResume() {
     fail(ResultCode.STREAM_POSITION_LOST, "the agent that keeps the answer cannot be reached");
   }
 
@@ -125,7 +125,7 @@
       case CHUNK -> onChunk(link, frame.getChunk());
       case END -> onEnd(link, AnswerEnds.fromWire(frame.getEnd()), frame.getEnd().getAttemptId());
       default -> {
-        // Started tells nothing that this side acts on.
+        // Other frames, such as Started, need no action here.
       }
     }
   }
@@ -136,29 +136,29 @@
       return;
     }
     if (delivered && !request.acceptsRestart()) {
-      rejoinUntil = context.clock().instant().plus(REJOIN_PATIENCE);
-      rejoin();
+      reattachUntil = context.clock().instant().plus(REATTACH_TIMEOUT);
+      reattach();
       return;
     }
-    attemptLost();
+    onAttemptLost();
   }
 
   /**
-   * Lets go of the answer, as the caller is gone. It may come back at another entry and join its
-   * answer there, so the attempt is cancelled only after a while; an agent ignores that cancel if
-   * by then another entry reads the answer.
+   * Ends the request because its caller has disconnected. The caller may resume the answer at
+   * another entry, so a resumable attempt is cancelled only after a grace period; the agent ignores
+   * that cancel if another entry reads the answer by then.
    */
-  synchronized void callerGone() {
+  synchronized void onCallerDisconnected() {
     if (ended) {
       return;
     }
     closeAttempt(false);
-    Instant giveUpAt =
+    Instant cancelAt =
         answer.isResumable()
-            ? context.clock().instant().plus(RETURN_PATIENCE)
+            ? context.clock().instant().plus(RESUME_GRACE)
             : context.clock().instant();
-    String abandoned = attemptId;
-    context.timers().at(giveUpAt, () -> cancel(abandoned));
+    String abandonedAttempt = attemptId;
+    context.timers().schedule(cancelAt, () -> cancel(abandonedAttempt));
     finish(ResultCode.CANCELLED, 0, () -> {});
   }
 
@@ -173,9 +173,9 @@
       if (link.isPresent() && dispatch(link.get(), now)) {
         return;
       }
-      excluded.add(chosen.get());
+      excludedTargets.add(chosen.get());
     }
-    conclude("no target can take the request now");
+    failWithFinalCode("no target can take the request now");
   }
 
   private Optional<String> choose(Instant now) {
@@ -185,20 +185,22 @@
             context.zone(),
             request.prefixHash(),
             request.estimatedTokens(),
-            excluded);
+            excludedTargets);
     return context.router().choose(query, now, context.random());
   }
 
   private boolean dispatch(Link link, Instant now) {
     attemptCount++;
-    open(link, request.requestId() + "." + attemptCount);
-    attemptAt = now;
+    openAttempt(link, request.requestId() + "." + attemptCount);
+    attemptStartedAt = now;
     context.router().sent(target, request.estimatedTokens(), now);
     boolean sent =
         link.offer(
             Frame.newBuilder()
                 .setDispatch(
-                    request.dispatch().toBuilder().setAttemptId(attemptId).setCredit(WINDOW))
+                    request.dispatch().toBuilder()
+                        .setAttemptId(attemptId)
+                        .setCredit(CREDIT_WINDOW_CHUNKS))
                 .build());
     if (!sent) {
       tracker.neverSent(attemptId, ResultCode.TARGET_UNREACHABLE);
@@ -207,12 +209,12 @@
     return sent;
   }
 
-  private void open(Link link, String id) {
+  private void openAttempt(Link link, String id) {
     attemptId = id;
     target = link.peer().processId();
     attemptIncarnation = link.peer().incarnation();
-    attemptAt = context.clock().instant();
-    assembler = AnswerAssembler.forAttempt(id, ASSEMBLER_WINDOW);
+    attemptStartedAt = context.clock().instant();
+    assembler = AnswerAssembler.forAttempt(id, REORDER_WINDOW_CHUNKS);
     streamName = context.streamName(request, target, id);
     lastEnd = null;
     tracker.dispatched(id, attemptIncarnation);
@@ -224,13 +226,13 @@
     List<byte[]> released =
         assembler.accept(chunk.getAttemptId(), chunk.getNumber(), chunk.getData().toByteArray());
     for (int i = 0; i < released.size(); i++) {
-      write(link, streamName, first + i, released.get(i));
+      forwardChunk(link, streamName, first + i, released.get(i));
     }
     if (!released.isEmpty()) {
       tracker.delivered();
       delivered = true;
     }
-    assembler.result().ifPresent(code -> settle(link, code));
+    assembler.result().ifPresent(code -> completeAttempt(link, code));
   }
 
   private void onEnd(Link link, AnswerEnd end, String ofAttempt) {
@@ -238,10 +240,10 @@
       return;
     }
     lastEnd = end;
-    assembler.end(ofAttempt, end).ifPresent(code -> settle(link, code));
+    assembler.end(ofAttempt, end).ifPresent(code -> completeAttempt(link, code));
   }
 
-  private void settle(Link link, ResultCode code) {
+  private void completeAttempt(Link link, ResultCode code) {
     AnswerEnd last = lastEnd;
     tracker.ended(attemptId, link.peer().incarnation(), code);
     boolean failed = code.outcome() == Outcome.OUTCOME_UNKNOWN && code != ResultCode.CANCELLED;
@@ -252,29 +254,30 @@
     }
     retryAt = last == null ? Optional.empty() : last.retryAt();
     if (last != null && ClaimHolder.of(last).isPresent()) {
-      askClaimHolder(ClaimHolder.of(last).get());
+      redirectToClaimHolder(ClaimHolder.of(last).get());
       return;
     }
-    excluded.add(target);
-    tryAgain(last == null ? "the answer came damaged" : last.detail(), isFree(code));
+    excludedTargets.add(target);
+    retry(last == null ? "the answer came damaged" : last.detail(), isExemptFromRetryBudget(code));
   }
 
   /**
-   * A call that may not be repeated was claimed by another agent before. That one has the answer,
-   * or runs the call now; if it is gone, nobody will ever know more.
+   * Sends the call to the agent that claimed its idempotency key. Only that agent has the answer or
+   * is running the call; if it is gone, the outcome stays unknown.
    */
-  private void askClaimHolder(ProcessIncarnation holder) {
-    if (!excluded.add(holder.process())) {
+  private void redirectToClaimHolder(ProcessIncarnation holder) {
+    if (!excludedTargets.add(holder.process())) {
       fail(ResultCode.OUTCOME_UNKNOWN, "the agent that claimed this key has lost it");
       return;
     }
     context
         .linkTo()
         .apply(holder.process())
-        .whenComplete((link, failure) -> onHolderLinked(holder, failure == null ? link : null));
+        .whenComplete(
+            (link, failure) -> onClaimHolderLinked(holder, failure == null ? link : null));
   }
 
-  private synchronized void onHolderLinked(ProcessIncarnation holder, Link link) {
+  private synchronized void onClaimHolderLinked(ProcessIncarnation holder, Link link) {
     if (ended) {
       return;
     }
@@ -283,40 +286,44 @@
       return;
     }
     if (!dispatch(link, context.clock().instant())) {
-      conclude("the agent that claimed this key cannot be reached");
+      failWithFinalCode("the agent that claimed this key cannot be reached");
     }
   }
 
-  private void attemptLost() {
+  private void onAttemptLost() {
     tracker.lost(attemptId, ResultCode.TARGET_LOST);
     closeAttempt(true);
-    excluded.add(target);
-    tryAgain("the target was lost", false);
+    excludedTargets.add(target);
+    retry("the target was lost", false);
   }
 
   /**
-   * Work handed back by a target on its way out does not count against the retry budget: the budget
-   * is there against storms on a system that is overloaded, and a nightly upgrade is not one.
+   * Whether a retry after this code is exempt from the retry budget. The budget guards against
+   * retry storms on an overloaded system; work that a draining target hands back, as in a nightly
+   * upgrade, is no such storm.
    */
-  private static boolean isFree(ResultCode code) {
+  private static boolean isExemptFromRetryBudget(ResultCode code) {
     return code == ResultCode.TARGET_LEAVING;
   }
 
-  private void tryAgain(String detail, boolean free) {
+  private void retry(String detail, boolean exemptFromRetryBudget) {
     Instant now = context.clock().instant();
-    if (!tracker.mayDispatch(now) || !(free || context.retries().tryRetry(now))) {
-      conclude(detail);
+    if (!tracker.mayDispatch(now) || !(exemptFromRetryBudget || context.retries().tryRetry(now))) {
+      failWithFinalCode(detail);
       return;
     }
     if (delivered) {
       delivered = false;
-      writer.execute(() -> toCaller(answer::restart));
+      writeQueue.execute(() -> writeToCaller(answer::restart));
     }
     attempt();
   }
 
-  /** Looks for a new link to the same run of the agent, whose buffer has the rest of the answer. */
-  private synchronized void rejoin() {
+  /**
+   * Reattaches over a new link to the same incarnation of the agent, whose buffer holds the rest of
+   * the answer; retries until a timeout.
+   */
+  private synchronized void reattach() {
     if (ended) {
       return;
     }
@@ -329,11 +336,11 @@
       return;
     }
     Instant now = context.clock().instant();
-    if (now.isBefore(rejoinUntil)) {
-      context.timers().at(now.plus(REJOIN_PAUSE), this::rejoin);
+    if (now.isBefore(reattachUntil)) {
+      context.timers().schedule(now.plus(REATTACH_INTERVAL), this::reattach);
       return;
     }
-    attemptLost();
+    onAttemptLost();
   }
 
   private boolean attach(Link link) {
@@ -344,11 +351,11 @@
                     .setAttemptId(attemptId)
                     .setWorkspace(request.workspace())
                     .setFromChunk(assembler.nextNumber())
-                    .setCredit(WINDOW))
+                    .setCredit(CREDIT_WINDOW_CHUNKS))
             .build());
   }
 
-  private synchronized void deadlinePassed() {
+  private synchronized void onDeadlinePassed() {
     if (ended) {
       return;
     }
@@ -359,8 +366,8 @@
     fail(code, "the deadline has passed");
   }
 
-  private void cancel(String abandoned) {
-    Cancel cancel = Cancel.newBuilder().setAttemptId(abandoned).build();
+  private void cancel(String abandonedAttempt) {
+    Cancel cancel = Cancel.newBuilder().setAttemptId(abandonedAttempt).build();
     context
         .links()
         .link(target)
@@ -371,24 +378,26 @@
     context.links().unregister(attemptId);
     context
         .router()
-        .finished(target, request.estimatedTokens(), failed, attemptAt, context.clock().instant());
+        .finished(
+            target, request.estimatedTokens(), failed, attemptStartedAt, context.clock().instant());
   }
 
-  private void write(Link link, String stream, long number, byte[] data) {
+  private void forwardChunk(Link link, String stream, long number, byte[] data) {
     String ofAttempt = attemptId;
-    writer.execute(
+    writeQueue.execute(
         () -> {
-          toCaller(
+          writeToCaller(
               () -> {
                 answer.writeChunk(stream, number, data);
-                if (!writer.hasWaiting()) {
+                if (!writeQueue.hasQueuedTasks()) {
                   answer.flush();
                 }
               });
-          if ((number + 1) % CREDIT_BATCH == 0) {
+          if ((number + 1) % CREDIT_BATCH_CHUNKS == 0) {
             link.offer(
                 Frame.newBuilder()
-                    .setCredit(Credit.newBuilder().setAttemptId(ofAttempt).setChunks(CREDIT_BATCH))
+                    .setCredit(
+                        Credit.newBuilder().setAttemptId(ofAttempt).setChunks(CREDIT_BATCH_CHUNKS))
                     .build());
           }
         });
@@ -398,7 +407,7 @@
     finish(ResultCode.OK, (double) end.usedTokens(), () -> answer.succeed(end));
   }
 
-  private void conclude(String detail) {
+  private void failWithFinalCode(String detail) {
     fail(tracker.finalCode(ResultCode.NO_TARGET).orElse(ResultCode.OUTCOME_UNKNOWN), detail);
   }
 
@@ -408,16 +417,16 @@
   }
 
   /**
-   * Ends the request. It counts as in flight until its last byte is written: an entry that stops
-   * when nothing is in flight would else cut off the end of an answer.
+   * Ends the request. It counts as in flight until its last byte is written; otherwise an entry
+   * that stops once nothing is in flight could cut off the end of an answer.
    */
   private void finish(ResultCode code, double usedTokens, CallerAction lastWrite) {
     ended = true;
     Instant now = context.clock().instant();
-    writer.execute(
+    writeQueue.execute(
         () -> {
-          toCaller(lastWrite);
-          onFinished.accept(code, usedTokens);
+          writeToCaller(lastWrite);
+          finishListener.accept(code, usedTokens);
         });
     logger.atInfo().log(
         "%s",
@@ -431,12 +440,15 @@
             .code(code));
   }
 
-  /** A caller that is gone shows as a failed write; what runs for it is stopped. */
-  private void toCaller(CallerAction action) {
+  /**
+   * Writes to the caller; a failed write means that the caller has disconnected and ends the
+   * request.
+   */
+  private void writeToCaller(CallerAction action) {
     try {
       action.run();
     } catch (IOException e) {
-      callerGone();
+      onCallerDisconnected();
     }
   }
 
--- a/entry/src/main/java/dev/ibishub/entry/SerialExecutor.java
+++ b/entry/src/main/java/dev/ibishub/entry/SerialExecutor.java
@@ -4,31 +4,33 @@
 import java.util.Queue;
 import java.util.concurrent.Executor;
 
-/** Runs tasks one after the other, in order, on threads of another executor. Thread-safe. */
+/**
+ * Runs tasks one at a time, in submission order, on the threads of another executor. Thread-safe.
+ */
 final class SerialExecutor implements Executor {
-  private final Executor threads;
-  private final Queue<Runnable> waiting = new ArrayDeque<>();
+  private final Executor delegate;
+  private final Queue<Runnable> queue = new ArrayDeque<>();
   private boolean running;
 
-  SerialExecutor(Executor threads) {
-    this.threads = threads;
+  SerialExecutor(Executor delegate) {
+    this.delegate = delegate;
   }
 
   @Override
   public void execute(Runnable task) {
     synchronized (this) {
-      waiting.add(task);
+      queue.add(task);
       if (running) {
         return;
       }
       running = true;
     }
-    threads.execute(this::runAll);
+    delegate.execute(this::runAll);
   }
 
-  /** Whether another task waits behind the one that runs. */
-  synchronized boolean hasWaiting() {
-    return !waiting.isEmpty();
+  /** Whether a task is queued behind the one that runs. */
+  synchronized boolean hasQueuedTasks() {
+    return !queue.isEmpty();
   }
 
   private void runAll() {
@@ -40,7 +42,7 @@
   }
 
   private synchronized Runnable next() {
-    Runnable next = waiting.poll();
+    Runnable next = queue.poll();
     running = next != null;
     return next;
   }
--- a/entry/src/test/java/dev/ibishub/entry/RequestRunnerTest.java
+++ b/entry/src/test/java/dev/ibishub/entry/RequestRunnerTest.java
@@ -30,7 +30,7 @@
   private static final Instant DEADLINE = START.plusSeconds(60);
 
   private Instant now = START;
-  private final List<LaterTask> laterTasks = new ArrayList<>();
+  private final List<ScheduledTask> scheduledTasks = new ArrayList<>();
   private final List<ResultCode> finished = new ArrayList<>();
   private final RecordingAnswerWriter answer = new RecordingAnswerWriter();
   private final Router router = Router.create(RouterOptions.defaults());
@@ -45,12 +45,12 @@
           router,
           RetryBudget.create(1, 10),
           () -> now,
-          (when, task) -> laterTasks.add(new LaterTask(when, task)),
+          (when, task) -> scheduledTasks.add(new ScheduledTask(when, task)),
           Runnable::run,
           new SplittableRandom(7));
 
   @Test
-  void answerGoesToTheCallerInOrderAndWhole() {
+  void chunksThatArriveOutOfOrderAreDeliveredInOrder() {
     FakeAgent agent = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
 
@@ -63,11 +63,11 @@
   }
 
   /**
-   * An etymology lookup vanishes. Its target dies before the first token; the entry must send the
-   * lookup to another target, and a chunk of the dead attempt that comes late must not show.
+   * Guards against a lost request when its target dies before the first token: the request moves to
+   * another target, and a late chunk of the lost attempt is dropped.
    */
   @Test
-  void requestWhoseTargetDiesBeforeTheFirstChunkGoesToAnother() {
+  void requestWhoseTargetDiesBeforeFirstChunkMovesToAnotherTarget() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
     FakeAgent second = agent("model-2", 1);
@@ -82,11 +82,11 @@
   }
 
   /**
-   * A caller gets the head of one answer and the tail of another. The target is replaced after half
-   * of a streamed answer; another target would write another text.
+   * Guards against splicing two answers: the target is replaced halfway through a streamed answer,
+   * and another target would generate different text.
    */
   @Test
-  void answerThatBrokeHalfwayIsNeverContinuedByAnotherTarget() {
+  void partialAnswerIsNeverContinuedByAnotherTarget() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
     first.chunk(first.attempt(), 0, "half");
@@ -94,14 +94,14 @@
 
     first.die();
     agent("model-1", 2);
-    passMillis(5_000);
+    advanceMillis(5_000);
 
     assertThat(second.dispatches()).isEmpty();
     assertThat(answer.events).containsExactly("0:half", "failed TARGET_LOST");
   }
 
   @Test
-  void answerWhoseLinkBrokeGoesOnFromTheSameRunOfTheAgent() {
+  void answerWhoseLinkBrokeResumesFromSameAgentIncarnation() {
     FakeAgent agent = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
     String attempt = agent.attempt();
@@ -109,7 +109,7 @@
 
     agent.die();
     FakeAgent again = agent("model-1", 1);
-    passMillis(200);
+    advanceMillis(200);
     assertThat(again.sent())
         .filteredOn(Frame::hasAttach)
         .extracting(frame -> frame.getAttach().getFromChunk())
@@ -121,7 +121,7 @@
   }
 
   @Test
-  void callerThatAcceptsARestartGetsTheWholeAnswerOfAnotherTarget() {
+  void callerThatAcceptsRestartGetsCompleteAnswerOfAnotherTarget() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, true);
     first.chunk(first.attempt(), 0, "half");
@@ -135,7 +135,7 @@
   }
 
   @Test
-  void workHandedBackByALeavingTargetGoesToAnother() {
+  void requestRefusedByLeavingTargetMovesToAnotherTarget() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.ONCE, false);
     FakeAgent second = agent("model-2", 1);
@@ -146,11 +146,11 @@
   }
 
   /**
-   * An incentive is posted twice. The target of a call that may not be repeated dies after the
-   * dispatch left; it may have run, so no second attempt may be made and the caller is told so.
+   * Guards against running a call twice that may not be repeated: its target dies after the
+   * dispatch was sent and may have run it, so no second attempt is made and the caller is told.
    */
   @Test
-  void unrepeatableRequestWithoutClaimIsNotSentAgainAfterALoss() {
+  void unrepeatableRequestWithoutClaimIsNotRetriedAfterTargetLoss() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.ONCE, false);
     FakeAgent second = agent("model-2", 1);
@@ -162,11 +162,11 @@
   }
 
   /**
-   * A caller sends an incentive again with its key and is told "outcome unknown" although it ran
-   * and its answer is kept. Its second try went to another agent than the one that has the claim.
+   * Guards against a false "outcome unknown": the caller repeats a call with its idempotency key,
+   * and the repeat reaches another agent than the one that holds the claim and the answer.
    */
   @Test
-  void callClaimedBeforeIsAskedOfTheAgentThatHoldsTheClaim() {
+  void claimedCallIsRedirectedToAgentThatHoldsTheClaim() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.ONCE_BY_CLAIM, true);
     FakeAgent holder = agent("model-2", 9);
@@ -178,7 +178,7 @@
   }
 
   @Test
-  void callWhoseClaimHolderWasReplacedHasAnUnknownOutcome() {
+  void callWhoseClaimHolderWasReplacedFailsWithOutcomeUnknown() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.ONCE_BY_CLAIM, true);
     FakeAgent replaced = agent("model-2", 10);
@@ -190,24 +190,24 @@
   }
 
   @Test
-  void requestGivenUpAtItsDeadlineGetsItsFinalAnswerAtOnce() {
+  void requestPastItsDeadlineFailsAtOnce() {
     agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
 
-    passMillis(61_000);
+    advanceMillis(61_000);
 
     assertThat(answer.failedWith).isEqualTo(ResultCode.DEADLINE_PASSED_RUNNING);
   }
 
   @Test
-  void requestWithoutATargetIsRefusedAsNotRun() {
+  void requestWithoutTargetFailsWithNoTarget() {
     start(Repeatability.MAY_BE_REPEATED, false);
 
     assertThat(answer.failedWith).isEqualTo(ResultCode.NO_TARGET);
   }
 
   @Test
-  void damagedAnswerIsNeverGivenAsWhole() {
+  void answerWithWrongChecksumFailsAsCorrupted() {
     FakeAgent agent = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
     agent.chunk(agent.attempt(), 0, "one");
@@ -236,14 +236,15 @@
     new RequestRunner(context, request, answer, (code, tokens) -> finished.add(code)).start();
   }
 
-  private record LaterTask(Instant when, Runnable task) {}
+  private record ScheduledTask(Instant when, Runnable task) {}
 
-  /** Lets time pass and runs what is due. */
-  private void passMillis(long millis) {
+  /** Advances the clock and runs the tasks that are due. */
+  private void advanceMillis(long millis) {
     now = now.plusMillis(millis);
-    List<LaterTask> due = laterTasks.stream().filter(later -> !later.when().isAfter(now)).toList();
-    laterTasks.removeAll(due);
-    due.forEach(later -> later.task().run());
+    List<ScheduledTask> due =
+        scheduledTasks.stream().filter(scheduled -> !scheduled.when().isAfter(now)).toList();
+    scheduledTasks.removeAll(due);
+    due.forEach(scheduled -> scheduled.task().run());
   }
 
   private static End heldBy(String attemptId, ProcessIncarnation holder) {
