--- a/entry/src/main/java/dev/ibishub/entry/Entry.java
+++ b/entry/src/main/java/dev/ibishub/entry/Entry.java
@@ -105,7 +105,7 @@
         HttpServer.create(new InetSocketAddress(settings.host(), settings.callerPort()), BACKLOG);
     http.setExecutor(threads);
     this.server = new CallerServer(http, settings, incarnation, clock);
-    LatePeerListener listener = new LatePeerListener();
+    DeferredLinkListener listener = new DeferredLinkListener();
     int peerPort = transport.listen(settings.host(), settings.peerPort(), listener).join();
     this.membership = Membership.create(self(incarnation, peerPort), MembershipOptions.defaults());
     this.addresses =
@@ -113,7 +113,7 @@
             membership, settings.addressValiditySeconds(), NEWS_SECONDS, MOST_ADDRESSES);
     this.targets = new TargetLinks(transport, membership, router, clock);
     this.peers = new PeerLinks(transport, membership, configuration, admission, clock);
-    listener.become(peers);
+    listener.setDelegate(peers);
   }
 
   /**
@@ -136,7 +136,7 @@
   public void drain() {
     Instant deadline = clock.instant().plusSeconds(settings.drainSeconds());
     membership.leaving(settings.processId(), clock.instant());
-    peers.tellAll();
+    peers.sendUpdates();
     logger.atInfo().log("%s", LogEvent.of("entry.leaving"));
     Instant serveUntil =
         addresses.servesUntil().filter(until -> until.isBefore(deadline)).orElse(deadline);
@@ -183,8 +183,8 @@
     new OperatorEndpoints(settings, operatorApi(orders)).addTo(server);
     MetricsPage.addTo(http, metrics.registry(), this::isReady);
     metrics.gauge("ibishub_entry_in_flight", "Requests in flight.", server::inFlight);
-    metrics.gauge("ibishub_entry_targets", "Links to agents.", targets::openLinks);
-    metrics.gauge("ibishub_entry_peers", "Links to other entries.", peers::openLinks);
+    metrics.gauge("ibishub_entry_targets", "Links to agents.", targets::linkCount);
+    metrics.gauge("ibishub_entry_peers", "Links to other entries.", peers::linkCount);
     metrics.gauge(
         "ibishub_entry_configuration_revision",
         "Revision in force here.",
@@ -230,7 +230,7 @@
             ExpertBalancer::new,
             membership.self().incarnation(),
             clock);
-    targets.addListener(leads::onFrame);
+    targets.addFrameListener(leads::onFrame);
     every(LEAD_MILLIS, leads::tick);
     ConfigurationSnapshots snapshots =
         ConfigurationSnapshots.create(
@@ -244,7 +244,7 @@
 
   private OrderDesk orderDesk() {
     OrderDesk orders = new OrderDesk(targets::link, clock);
-    targets.addListener(
+    targets.addFrameListener(
         frame -> {
           if (frame.hasOrderReply()) {
             orders.onReply(frame.getOrderReply());
@@ -267,13 +267,13 @@
     return isServing()
         && configuration.isKnown()
         && addresses.servesUntil().isEmpty()
-        && targets.openLinks() > 0;
+        && targets.linkCount() > 0;
   }
 
   private void tellPeers() {
     membership.setLoad(server.inFlight());
     router.setEntries(1 + membership.liveEntries().size());
-    peers.tellAll();
+    peers.sendUpdates();
   }
 
   private void readList() {
@@ -281,7 +281,7 @@
         .thenAccept(
             machines ->
                 membership.listed(
-                    machines.stream().map(Members::fromList).toList(), clock.instant()));
+                    machines.stream().map(MemberConverter::fromList).toList(), clock.instant()));
   }
 
   private void schedule(Instant when, Runnable task) {
--- a/entry/src/main/java/dev/ibishub/entry/Members.java
+++ b/entry/src/main/java/dev/ibishub/entry/MemberConverter.java
@@ -7,11 +7,11 @@
 import dev.ibishub.wire.generated.Member;
 import java.util.Locale;
 
-/** Translates members between the core's record, the wire's message and the platform's list. */
-final class Members {
+/** Converts members between the core's record, the wire message and the platform's VM list. */
+final class MemberConverter {
   private static final String WIRE_PREFIX = "MEMBER_STATE_";
 
-  private Members() {}
+  private MemberConverter() {}
 
   static Member toWire(MemberRecord member) {
     return Member.newBuilder()
--- a/entry/src/main/java/dev/ibishub/entry/PeerLinks.java
+++ b/entry/src/main/java/dev/ibishub/entry/PeerLinks.java
@@ -24,9 +24,9 @@
 import java.util.stream.Collectors;
 
 /**
- * The links between entries. Each entry tells its peers now and then whom it believes alive, which
- * configuration it knows and what workspaces have used. Nothing here decides: what comes in goes to
- * the membership, the configuration and the admission. Thread-safe.
+ * Links between entries, over which they gossip membership, configuration and workspace usage.
+ * Decides nothing itself: received data goes to the membership, the configuration follower and the
+ * admission. Thread-safe.
  */
 final class PeerLinks implements LinkListener {
   private final WireTransport transport;
@@ -34,9 +34,9 @@
   private final ConfigurationFollower configuration;
   private final Admission admission;
   private final InstantSource clock;
-  private final Set<Link> open = ConcurrentHashMap.newKeySet();
+  private final Set<Link> links = ConcurrentHashMap.newKeySet();
   private final Set<String> connecting = ConcurrentHashMap.newKeySet();
-  private Map<String, WorkspaceUse> usageSent = Map.of();
+  private Map<String, WorkspaceUse> lastSentUsage = Map.of();
 
   PeerLinks(
       WireTransport transport,
@@ -51,17 +51,17 @@
     this.clock = clock;
   }
 
-  /** Opens the links that the membership asks for and that are not open. */
+  /** Connects to the entries that the membership selects and that have no open link. */
   void connectAll() {
     membership.connectTo().stream()
         .filter(member -> member.role() == MemberRole.ENTRY)
-        .filter(member -> open.stream().noneMatch(link -> isTo(link, member)))
+        .filter(member -> links.stream().noneMatch(link -> isLinkTo(link, member)))
         .filter(member -> connecting.add(member.id()))
         .forEach(this::connect);
   }
 
-  /** Tells all linked peers what this entry knows. */
-  void tellAll() {
+  /** Sends this entry's digests and usage changes to all linked peers. */
+  void sendUpdates() {
     sendToAll(membershipDigest());
     sendToAll(configurationDigest());
     UsageReport changes = usageChanges();
@@ -70,13 +70,13 @@
     }
   }
 
-  int openLinks() {
-    return open.size();
+  int linkCount() {
+    return links.size();
   }
 
   @Override
   public void onOpen(Link link) {
-    open.add(link);
+    links.add(link);
     membership.heard(link.peer().processId(), link.peer().incarnation(), clock.instant());
     link.offer(membershipDigest());
     link.offer(configurationDigest());
@@ -92,14 +92,14 @@
           configuration.offer(frame.getConfigurationTransfer().getSnapshot().toByteArray());
       case USAGE_REPORT -> onUsage(frame.getUsageReport());
       default -> {
-        // A newer release's frame that this one has no use for.
+        // Frames of other kinds, such as those of a newer release, are ignored.
       }
     }
   }
 
   @Override
   public void onClose(Link link) {
-    open.remove(link);
+    links.remove(link);
     membership.missed(link.peer().processId(), clock.instant());
   }
 
@@ -115,21 +115,21 @@
             });
   }
 
-  private static boolean isTo(Link link, MemberRecord member) {
+  private static boolean isLinkTo(Link link, MemberRecord member) {
     return link.peer().processId().equals(member.id());
   }
 
   private void onMembership(Link link, MembershipDigest digest) {
     membership.merge(
-        digest.getMembersList().stream().map(Members::fromWire).toList(), clock.instant());
+        digest.getMembersList().stream().map(MemberConverter::fromWire).toList(), clock.instant());
     membership.heard(link.peer().processId(), link.peer().incarnation(), clock.instant());
   }
 
   private void onConfigurationDigest(Link link, ConfigurationDigest digest) {
-    var theirs =
+    var peerDigest =
         new ConfigurationReader.Digest(
             digest.getRevision(), digest.getHash(), digest.getNextOffset());
-    if (configuration.isKnown() && theirs.isBehind(configuration.digest())) {
+    if (configuration.isKnown() && peerDigest.isBehind(configuration.digest())) {
       link.offer(
           Frame.newBuilder()
               .setConfigurationTransfer(
@@ -150,7 +150,7 @@
   }
 
   private void sendToAll(Frame frame) {
-    open.forEach(link -> link.offer(frame));
+    links.forEach(link -> link.offer(frame));
   }
 
   private Frame membershipDigest() {
@@ -159,7 +159,9 @@
             MembershipDigest.newBuilder()
                 .setSender(membership.self().id())
                 .addAllMembers(
-                    membership.digest(clock.instant()).stream().map(Members::toWire).toList()))
+                    membership.digest(clock.instant()).stream()
+                        .map(MemberConverter::toWire)
+                        .toList()))
         .build();
   }
 
@@ -178,14 +180,16 @@
     return report(admission.usage(clock.instant()));
   }
 
-  /** Only what changed since the last report: most of many workspaces are idle at any time. */
+  /**
+   * Returns only what changed since the last report, because most workspaces are idle at any time.
+   */
   private synchronized UsageReport usageChanges() {
     Map<String, WorkspaceUse> now = admission.usage(clock.instant());
     Map<String, WorkspaceUse> changed =
         now.entrySet().stream()
-            .filter(entry -> !entry.getValue().equals(usageSent.get(entry.getKey())))
+            .filter(entry -> !entry.getValue().equals(lastSentUsage.get(entry.getKey())))
             .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
-    usageSent = now;
+    lastSentUsage = now;
     return report(changed);
   }
 
--- a/entry/src/main/java/dev/ibishub/entry/TargetLinks.java
+++ b/entry/src/main/java/dev/ibishub/entry/TargetLinks.java
@@ -27,8 +27,8 @@
 import java.util.stream.Stream;
 
 /**
- * The links from this entry to agents. Keeps those open that the membership asks for, feeds the
- * router with reports, and hands each frame to the attempt or the controller it belongs to.
+ * Links from this entry to agents. Connects to the agents that the membership selects, feeds their
+ * reports to the router, and passes each frame to the attempt or listener that it belongs to.
  * Thread-safe.
  */
 final class TargetLinks implements LinkListener {
@@ -42,15 +42,15 @@
   private final Set<String> connecting = ConcurrentHashMap.newKeySet();
   private final Map<String, AttemptListener> attempts = new ConcurrentHashMap<>();
   private final Map<String, TargetReport> reports = new ConcurrentHashMap<>();
-  private final List<Consumer<Frame>> otherListeners = new CopyOnWriteArrayList<>();
+  private final List<Consumer<Frame>> frameListeners = new CopyOnWriteArrayList<>();
 
-  /** Takes what an agent says about one attempt. Calls come on I/O threads and must not block. */
+  /** Receives the frames of one attempt. Calls come on I/O threads and must not block. */
   interface AttemptListener {
     void onFrame(Link link, Frame frame);
 
     void onLinkLost(Link link);
 
-    /** Whose agent the attempt was sent to. */
+    /** Returns the target whose agent runs the attempt. */
     String target();
   }
 
@@ -61,19 +61,22 @@
     this.clock = clock;
   }
 
-  /** Opens the links that the membership asks for and that are not open. */
+  /** Connects to the agents that the membership selects and that have no open link. */
   void connectAll() {
     membership.connectTo().stream()
         .filter(member -> member.role() == MemberRole.AGENT)
         .forEach(this::connect);
   }
 
-  /** Returns the open link to a target. */
+  /** Returns the open link to a target, or empty if there is none. */
   Optional<Link> link(String target) {
     return Optional.ofNullable(links.get(target)).filter(Link::isOpen);
   }
 
-  /** Returns the link to a target, opened if need be; fails with {@code TARGET_UNREACHABLE}. */
+  /**
+   * Returns the link to a target, connecting first if none is open; fails with {@code
+   * TARGET_UNREACHABLE} if the target is unknown.
+   */
   CompletableFuture<Link> linkTo(String target) {
     return link(target)
         .map(CompletableFuture::completedFuture)
@@ -82,10 +85,10 @@
                 membership
                     .member(target)
                     .map(member -> transport.connect(member.host(), member.port(), this))
-                    .orElseGet(() -> CompletableFuture.failedFuture(unknown(target))));
+                    .orElseGet(() -> CompletableFuture.failedFuture(unknownTarget(target))));
   }
 
-  private static ResultException unknown(String target) {
+  private static ResultException unknownTarget(String target) {
     return new ResultException(ResultCode.TARGET_UNREACHABLE, "no VM is known for " + target);
   }
 
@@ -97,17 +100,20 @@
     attempts.remove(attemptId);
   }
 
-  /** Adds a listener for the frames that belong to no attempt: replies to orders and groups. */
-  void addListener(Consumer<Frame> listener) {
-    otherListeners.add(listener);
+  /**
+   * Adds a listener for frames that belong to no attempt, such as replies to orders and group
+   * commands.
+   */
+  void addFrameListener(Consumer<Frame> listener) {
+    frameListeners.add(listener);
   }
 
-  /** Returns the newest report of each linked target. */
+  /** Returns the latest report of each linked target. */
   Stream<TargetReport> reports() {
     return reports.values().stream();
   }
 
-  int openLinks() {
+  int linkCount() {
     return links.size();
   }
 
@@ -128,11 +134,11 @@
               frame.getCacheReport().getTarget(),
               frame.getCacheReport().getAddedPrefixesList(),
               frame.getCacheReport().getEvictedPrefixesList());
-      case STARTED -> pass(link, frame.getStarted().getAttemptId(), frame);
-      case CHUNK -> pass(link, frame.getChunk().getAttemptId(), frame);
-      case END -> pass(link, frame.getEnd().getAttemptId(), frame);
-      case REVOKE_REPLY -> pass(link, frame.getRevokeReply().getAttemptId(), frame);
-      default -> otherListeners.forEach(listener -> listener.accept(frame));
+      case STARTED -> forwardToAttempt(link, frame.getStarted().getAttemptId(), frame);
+      case CHUNK -> forwardToAttempt(link, frame.getChunk().getAttemptId(), frame);
+      case END -> forwardToAttempt(link, frame.getEnd().getAttemptId(), frame);
+      case REVOKE_REPLY -> forwardToAttempt(link, frame.getRevokeReply().getAttemptId(), frame);
+      default -> frameListeners.forEach(listener -> listener.accept(frame));
     }
   }
 
@@ -166,7 +172,7 @@
             });
   }
 
-  private void pass(Link link, String attemptId, Frame frame) {
+  private void forwardToAttempt(Link link, String attemptId, Frame frame) {
     Optional.ofNullable(attempts.get(attemptId)).ifPresent(attempt -> attempt.onFrame(link, frame));
   }
 
--- a/entry/src/test/java/dev/ibishub/entry/FakeAgent.java
+++ b/entry/src/test/java/dev/ibishub/entry/FakeAgent.java
@@ -13,7 +13,10 @@
 import java.util.List;
 import java.util.zip.CRC32C;
 
-/** An agent's end of a link: keeps what the entry sends, and sends what a test tells it. */
+/**
+ * Fake agent at the other end of a link: records the frames that the entry sends, and sends frames
+ * as a test tells it to.
+ */
 final class FakeAgent {
   private final TargetLinks links;
   private final EmbeddedChannel channel = new EmbeddedChannel();
@@ -42,7 +45,7 @@
     return this;
   }
 
-  void die() {
+  void disconnect() {
     channel.close();
     links.onClose(link);
   }
@@ -58,10 +61,10 @@
             .build());
   }
 
-  /** Ends an attempt whose whole answer is the text. */
-  void finish(String attemptId, long chunks, String whole) {
+  /** Ends an attempt with the checksum of its complete answer. */
+  void finish(String attemptId, long chunks, String answer) {
     CRC32C checksum = new CRC32C();
-    checksum.update(whole.getBytes(StandardCharsets.UTF_8));
+    checksum.update(answer.getBytes(StandardCharsets.UTF_8));
     end(
         End.newBuilder()
             .setAttemptId(attemptId)
@@ -82,8 +85,8 @@
     return sent().stream().filter(Frame::hasDispatch).map(Frame::getDispatch).toList();
   }
 
-  /** The only dispatch's attempt. */
-  String attempt() {
+  /** Returns the attempt id of the latest dispatch. */
+  String latestAttemptId() {
     return dispatches().get(dispatches().size() - 1).getAttemptId();
   }
 
--- a/entry/src/test/java/dev/ibishub/entry/RequestRunnerTest.java
+++ b/entry/src/test/java/dev/ibishub/entry/RequestRunnerTest.java
@@ -54,9 +54,9 @@
     FakeAgent agent = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
 
-    agent.chunk(agent.attempt(), 1, "two");
-    agent.chunk(agent.attempt(), 0, "one ");
-    agent.finish(agent.attempt(), 2, "one two");
+    agent.chunk(agent.latestAttemptId(), 1, "two");
+    agent.chunk(agent.latestAttemptId(), 0, "one ");
+    agent.finish(agent.latestAttemptId(), 2, "one two");
 
     assertThat(answer.events).containsExactly("0:one ", "1:two", "end 2");
     assertThat(finished).containsExactly(ResultCode.OK);
@@ -71,12 +71,12 @@
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
     FakeAgent second = agent("model-2", 1);
-    String lost = first.attempt();
+    String lost = first.latestAttemptId();
 
-    first.die();
+    first.disconnect();
     second.chunk(lost, 0, "stale");
-    second.chunk(second.attempt(), 0, "fresh");
-    second.finish(second.attempt(), 1, "fresh");
+    second.chunk(second.latestAttemptId(), 0, "fresh");
+    second.finish(second.latestAttemptId(), 1, "fresh");
 
     assertThat(answer.events).containsExactly("0:fresh", "end 1");
   }
@@ -89,10 +89,10 @@
   void partialAnswerIsNeverContinuedByAnotherTarget() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
-    first.chunk(first.attempt(), 0, "half");
+    first.chunk(first.latestAttemptId(), 0, "half");
     FakeAgent second = agent("model-2", 1);
 
-    first.die();
+    first.disconnect();
     agent("model-1", 2);
     advanceMillis(5_000);
 
@@ -104,10 +104,10 @@
   void answerWhoseLinkBrokeResumesFromSameAgentIncarnation() {
     FakeAgent agent = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
-    String attempt = agent.attempt();
+    String attempt = agent.latestAttemptId();
     agent.chunk(attempt, 0, "half ");
 
-    agent.die();
+    agent.disconnect();
     FakeAgent again = agent("model-1", 1);
     advanceMillis(200);
     assertThat(again.sent())
@@ -124,12 +124,12 @@
   void callerThatAcceptsRestartGetsCompleteAnswerOfAnotherTarget() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, true);
-    first.chunk(first.attempt(), 0, "half");
+    first.chunk(first.latestAttemptId(), 0, "half");
     FakeAgent second = agent("model-2", 1);
 
-    first.die();
-    second.chunk(second.attempt(), 0, "all");
-    second.finish(second.attempt(), 1, "all");
+    first.disconnect();
+    second.chunk(second.latestAttemptId(), 0, "all");
+    second.finish(second.latestAttemptId(), 1, "all");
 
     assertThat(answer.events).containsExactly("0:half", "restart", "0:all", "end 1");
   }
@@ -140,7 +140,7 @@
     start(Repeatability.ONCE, false);
     FakeAgent second = agent("model-2", 1);
 
-    first.refuse(first.attempt(), ResultCode.TARGET_LEAVING);
+    first.refuse(first.latestAttemptId(), ResultCode.TARGET_LEAVING);
 
     assertThat(second.dispatches()).hasSize(1);
   }
@@ -155,7 +155,7 @@
     start(Repeatability.ONCE, false);
     FakeAgent second = agent("model-2", 1);
 
-    first.die();
+    first.disconnect();
 
     assertThat(second.dispatches()).isEmpty();
     assertThat(answer.failedWith).isEqualTo(ResultCode.TARGET_LOST);
@@ -171,8 +171,8 @@
     start(Repeatability.ONCE_BY_CLAIM, true);
     FakeAgent holder = agent("model-2", 9);
 
-    first.end(heldBy(first.attempt(), new ProcessIncarnation("model-2", 9)));
-    holder.finish(holder.attempt(), 0, "");
+    first.end(heldBy(first.latestAttemptId(), new ProcessIncarnation("model-2", 9)));
+    holder.finish(holder.latestAttemptId(), 0, "");
 
     assertThat(answer.events).containsExactly("end 0");
   }
@@ -183,7 +183,7 @@
     start(Repeatability.ONCE_BY_CLAIM, true);
     FakeAgent replaced = agent("model-2", 10);
 
-    first.end(heldBy(first.attempt(), new ProcessIncarnation("model-2", 9)));
+    first.end(heldBy(first.latestAttemptId(), new ProcessIncarnation("model-2", 9)));
 
     assertThat(replaced.dispatches()).isEmpty();
     assertThat(answer.failedWith).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
@@ -210,9 +210,9 @@
   void answerWithWrongChecksumFailsAsCorrupted() {
     FakeAgent agent = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
-    agent.chunk(agent.attempt(), 0, "one");
+    agent.chunk(agent.latestAttemptId(), 0, "one");
 
-    agent.finish(agent.attempt(), 1, "other");
+    agent.finish(agent.latestAttemptId(), 1, "other");
 
     assertThat(answer.events).containsExactly("0:one", "failed ANSWER_CORRUPTED");
   }
