--- a/entry/src/main/java/dev/ibishub/entry/Entry.java
+++ b/entry/src/main/java/dev/ibishub/entry/Entry.java
@@ -222,8 +222,8 @@
         new PlacementReconciler(
             configuration::current, targets::reports, rendezvous::isMine, orders);
     every(PLACEMENT_MILLIS, placements::tick);
-    GroupLeads leads =
-        new GroupLeads(
+    GroupControllers leads =
+        new GroupControllers(
             configuration::current,
             targets,
             rendezvous::isMine,
--- a/entry/src/main/java/dev/ibishub/entry/ExpertBalancer.java
+++ b/entry/src/main/java/dev/ibishub/entry/ExpertBalancer.java
@@ -12,9 +12,9 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 
-/** Plans a group's next map from what its ranks report. Not thread-safe. */
+/** Plans a group's next expert map from the statuses of its ranks. Not thread-safe. */
 final class ExpertBalancer implements GroupController.Planner {
-  private static final int BYTES_OF_SLOT = 2;
+  private static final int BYTES_PER_SLOT = 2;
 
   private final Group group;
   private final ExpertPlanner planner;
@@ -30,14 +30,15 @@
 
   @Override
   public Optional<byte[]> plan(List<RankStatus> statuses, Optional<byte[]> bytes, Instant now) {
-    return bytes.filter(this::hasShape).flatMap(present -> plan(statuses, present, now));
+    return bytes.filter(this::fitsGroup).flatMap(present -> plan(statuses, present, now));
   }
 
   private Optional<byte[]> plan(List<RankStatus> statuses, byte[] bytes, Instant now) {
-    int slots = bytes.length / (BYTES_OF_SLOT * group.layers() * group.ranks());
+    int slots = bytes.length / (BYTES_PER_SLOT * group.layers() * group.ranks());
     ExpertMap map = ExpertMap.fromBytes(group.layers(), group.ranks(), slots, bytes);
     double[] popularity = popularity(statuses);
-    // Engines report popularity over all layers together, so each layer is planned alike.
+    // Engines report expert popularity summed over all layers, so every layer is planned from the
+    // same figures.
     double[][] byLayer = new double[group.layers()][];
     Arrays.fill(byLayer, popularity);
     double[] slowness =
@@ -47,8 +48,8 @@
     return planner.plan(map, byLayer, slowness, Instant.MIN, now).map(plan -> plan.map().toBytes());
   }
 
-  private boolean hasShape(byte[] bytes) {
-    int row = BYTES_OF_SLOT * group.layers() * group.ranks();
+  private boolean fitsGroup(byte[] bytes) {
+    int row = BYTES_PER_SLOT * group.layers() * group.ranks();
     return bytes.length > 0 && bytes.length % row == 0;
   }
 
@@ -64,7 +65,10 @@
         .toArray();
   }
 
-  /** Tokens that each rank gets in the first layer, replicas sharing an expert's evenly. */
+  /**
+   * Returns the tokens that each rank gets in the first layer, with the tokens of an expert spread
+   * evenly over its replicas.
+   */
   private double[] loads(ExpertMap map, double[] popularity) {
     int[] replicas = new int[group.experts()];
     forEachSlot(map, (rank, expert) -> replicas[expert]++);
--- a/entry/src/main/java/dev/ibishub/entry/GroupController.java
+++ b/entry/src/main/java/dev/ibishub/entry/GroupController.java
@@ -20,10 +20,11 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Leads one group while this entry is the one chosen to. Being chosen twice, or wrongly, costs only
- * time: the ranks obey the highest epoch. Thread-safe under one lock; commands go out outside it.
+ * Leads one model group while this entry is elected for it, behind ibishub's own interface. Two
+ * entries that lead at once, or the wrong one, cost only time: the ranks obey the highest epoch.
+ * Thread-safe under one lock; commands are sent outside of it.
  *
- * <p>Call {@link #tick} every few milliseconds and {@link #onReply} with what the ranks answer.
+ * <p>Call {@link #tick} every few milliseconds and {@link #onReply} with the ranks' replies.
  */
 public final class GroupController {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -32,21 +33,24 @@
   private final int ranks;
   private final long processIncarnation;
   private final GroupLeaderOptions options;
-  private final BooleanSupplier chosen;
+  private final BooleanSupplier elected;
   private final Sender sender;
   private final Planner planner;
-  private final Duration planEvery;
+  private final Duration planInterval;
   private final InstantSource clock;
   private GroupLeader leader;
   private long highestSeenEpoch;
-  private Instant leadFrom = Instant.MIN;
-  private Instant planAt = Instant.MIN;
+  private Instant earliestLeadAt = Instant.MIN;
+  private Instant nextPlanAt = Instant.MIN;
 
-  /** Sends a command to the agent of a rank. One that cannot be sent is dropped: it is repeated. */
+  /**
+   * Sends a command to the agent of a rank. A command that cannot be sent is dropped, because the
+   * leader repeats it.
+   */
   @FunctionalInterface
   public interface Sender {
     /**
-     * Sends a command without waiting.
+     * Sends a command without blocking.
      *
      * @param rank the rank's number
      * @param command the command
@@ -54,31 +58,31 @@
     void send(int rank, GroupCommand command);
   }
 
-  /** Decides whether a group gets another map. */
+  /** Decides whether a group gets a new expert map. */
   @FunctionalInterface
   public interface Planner {
     /**
-     * Plans from what the ranks report.
+     * Plans the next map from the ranks' statuses.
      *
-     * @param statuses the state of each rank
-     * @param map the bytes of the map in use, or empty when not known
-     * @param now the time
-     * @return the bytes of a better map, or empty to stay with the one in use
+     * @param statuses the latest status of each rank
+     * @param map the bytes of the map in use, or empty if unknown
+     * @param now the current time
+     * @return the bytes of a better map, or empty to keep the one in use
      */
     Optional<byte[]> plan(List<RankStatus> statuses, Optional<byte[]> map, Instant now);
   }
 
   /**
-   * Creates a controller that leads once {@code chosen} says so.
+   * Creates a controller that leads while {@code elected} returns true.
    *
    * @param group the group's name
-   * @param ranks how many ranks it has
-   * @param processIncarnation drawn anew at each start of this process
-   * @param options times and margins
-   * @param chosen whether all ranks are known and this entry is to lead
+   * @param ranks the number of ranks
+   * @param processIncarnation a number drawn anew at each start of this process
+   * @param options timeouts and margins of the leader
+   * @param elected whether all ranks are known and this entry is elected to lead
    * @param sender sends commands
    * @param planner plans maps
-   * @param planEvery how often to plan
+   * @param planInterval interval between plans
    * @param clock the time
    */
   public GroupController(
@@ -86,79 +90,81 @@
       int ranks,
       long processIncarnation,
       GroupLeaderOptions options,
-      BooleanSupplier chosen,
+      BooleanSupplier elected,
       Sender sender,
       Planner planner,
-      Duration planEvery,
+      Duration planInterval,
       InstantSource clock) {
     this.group = group;
     this.ranks = ranks;
     this.processIncarnation = processIncarnation;
     this.options = options;
-    this.chosen = chosen;
+    this.elected = elected;
     this.sender = sender;
     this.planner = planner;
-    this.planEvery = planEvery;
+    this.planInterval = planInterval;
     this.clock = clock;
   }
 
-  /** Takes up or lays down the lead, plans, and sends what is due. */
+  /** Starts or stops leading, plans, and sends the commands that are due. */
   public void tick() {
     List<GroupLeader.Addressed> due = advance(clock.instant());
     due.forEach(addressed -> sender.send(addressed.rank(), toWire(addressed.command())));
   }
 
   /**
-   * Takes a rank's answer.
+   * Processes a rank's reply.
    *
-   * @param reply the answer; one of another group is ignored
+   * @param reply the reply; one of another group or of an unknown rank is ignored
    */
   public void onReply(GroupReply reply) {
     if (!reply.getGroup().equals(group) || reply.getRank() >= ranks || reply.getRank() < 0) {
       return;
     }
-    takeReply(toCore(reply));
+    applyReply(toCore(reply));
     tick();
   }
 
   /**
-   * Notes an epoch heard of elsewhere, such as in a target's report.
+   * Records an epoch seen elsewhere, such as in a target's report; a new leader takes a higher one.
    *
    * @param epoch the epoch
    */
-  public synchronized void learnEpoch(long epoch) {
+  public synchronized void observeEpoch(long epoch) {
     highestSeenEpoch = Math.max(highestSeenEpoch, epoch);
   }
 
-  /** Returns what this entry does as a leader, or empty when it does not lead. */
+  /** Returns the phase of this entry's leader, or empty while it does not lead. */
   public synchronized Optional<Phase> phase() {
     return Optional.ofNullable(leader).map(GroupLeader::phase);
   }
 
-  /** Returns the version of the map in use as far as this entry leads and knows, else 0. */
+  /**
+   * Returns the version of the map in use, or 0 while this entry does not lead or does not know it.
+   */
   public synchronized long mapVersion() {
     return leader == null ? 0 : leader.version();
   }
 
-  private synchronized void takeReply(dev.ibishub.core.GroupReply reply) {
+  private synchronized void applyReply(dev.ibishub.core.GroupReply reply) {
     if (leader != null) {
       leader.onReply(reply, clock.instant());
-      learnEpoch(leader.highestSeenEpoch());
+      observeEpoch(leader.highestSeenEpoch());
     }
   }
 
   private synchronized List<GroupLeader.Addressed> advance(Instant now) {
-    if (!chosen.getAsBoolean()) {
+    if (!elected.getAsBoolean()) {
       leader = null;
       return List.of();
     }
     if (leader != null && leader.phase() == Phase.DEPOSED) {
-      // Two entries that each think themselves chosen would depose each other without end; the
-      // pause lets the one that is wrong learn of it.
+      // Two entries that both hold themselves elected would depose each other without end. The
+      // back-off gives the wrong one time to learn of the other.
       leader = null;
-      leadFrom = now.plus(options.holdFor());
+      earliestLeadAt = now.plus(options.holdFor());
     }
-    if (leader == null && !now.isBefore(leadFrom)) {
+    if (leader == null && !now.isBefore(earliestLeadAt)) {
       long epoch = GroupEpoch.next(highestSeenEpoch, processIncarnation);
       highestSeenEpoch = epoch;
       leader = GroupLeader.create(group, ranks, epoch, options);
@@ -174,10 +180,10 @@
 
   private void plan(Instant now) {
     List<RankStatus> statuses = leader.statuses();
-    if (leader.phase() != Phase.READY || now.isBefore(planAt) || statuses.isEmpty()) {
+    if (leader.phase() != Phase.READY || now.isBefore(nextPlanAt) || statuses.isEmpty()) {
       return;
     }
-    planAt = now.plus(planEvery);
+    nextPlanAt = now.plus(planInterval);
     planner
         .plan(statuses, leader.map(), now)
         .flatMap(leader::offer)
@@ -212,7 +218,7 @@
         kindOf(reply),
         code,
         reply.getHighestEpoch(),
-        tellsState(code) ? statusOf(reply) : null);
+        carriesStatus(code) ? statusOf(reply) : null);
   }
 
   private static dev.ibishub.core.GroupCommand.Kind kindOf(GroupReply reply) {
@@ -223,8 +229,9 @@
             reply.getKind().name().substring("GROUP_COMMAND_KIND_".length()));
   }
 
-  // Where the engine could not be read, the reply's state is empty, not that of a fresh engine.
-  private static boolean tellsState(ResultCode code) {
+  // With any other code the engine could not be read, and the status fields are unset rather than
+  // those of a fresh engine.
+  private static boolean carriesStatus(ResultCode code) {
     return switch (code) {
       case OK, UNKNOWN_INCARNATION, STALE_EPOCH, STEP_ALREADY_PASSED, MAP_NOT_STAGED -> true;
       default -> false;
--- a/entry/src/main/java/dev/ibishub/entry/GroupLeads.java
+++ b/entry/src/main/java/dev/ibishub/entry/GroupControllers.java
@@ -17,35 +17,35 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
-/** The groups that this entry may lead, each by its own controller. Thread-safe. */
-final class GroupLeads {
-  private static final Duration PLAN_EVERY = Duration.ofSeconds(5);
+/** Controllers of all groups, which this entry leads where it is elected. Thread-safe. */
+final class GroupControllers {
+  private static final Duration PLAN_INTERVAL = Duration.ofSeconds(5);
 
   private final Supplier<Configuration> configuration;
   private final TargetLinks links;
   private final Predicate<String> isMine;
-  private final Function<Group, GroupController.Planner> planners;
+  private final Function<Group, GroupController.Planner> plannerFactory;
   private final long processIncarnation;
   private final InstantSource clock;
   private final Map<String, GroupController> controllers = new ConcurrentHashMap<>();
   private volatile Map<String, Map<Integer, String>> targetsByGroup = Map.of();
 
-  GroupLeads(
+  GroupControllers(
       Supplier<Configuration> configuration,
       TargetLinks links,
       Predicate<String> isMine,
-      Function<Group, GroupController.Planner> planners,
+      Function<Group, GroupController.Planner> plannerFactory,
       long processIncarnation,
       InstantSource clock) {
     this.configuration = configuration;
     this.links = links;
     this.isMine = isMine;
-    this.planners = planners;
+    this.plannerFactory = plannerFactory;
     this.processIncarnation = processIncarnation;
     this.clock = clock;
   }
 
-  /** Takes up, goes on with and lays down leads. */
+  /** Adds and removes controllers as the configuration says, and ticks each of them. */
   void tick() {
     targetsByGroup = targetsByGroup();
     Map<String, Group> groups = configuration.get().groups();
@@ -56,7 +56,7 @@
             group -> controllers.computeIfAbsent(group.name(), key -> controller(group)).tick());
   }
 
-  /** Takes a rank's reply; other frames are ignored. */
+  /** Passes a rank's reply to its group's controller; ignores other frames. */
   void onFrame(Frame frame) {
     if (frame.hasGroupReply()) {
       GroupReply reply = frame.getGroupReply();
@@ -71,14 +71,14 @@
         group.ranks(),
         processIncarnation,
         GroupLeaderOptions.defaults(),
-        () -> isChosen(group),
+        () -> isElected(group),
         (rank, command) -> send(group.name(), rank, command),
-        planners.apply(group),
-        PLAN_EVERY,
+        plannerFactory.apply(group),
+        PLAN_INTERVAL,
         clock);
   }
 
-  private boolean isChosen(Group group) {
+  private boolean isElected(Group group) {
     return ranksOf(group.name()).size() == group.ranks() && isMine.test("group:" + group.name());
   }
 
@@ -102,7 +102,8 @@
                 Collectors.toMap(
                     TargetReport::getRank,
                     TargetReport::getTarget,
-                    // While a rank's VM is replaced both may be linked; the greater name is stable.
+                    // While a VM is being replaced, both the old and the new one may be linked.
+                    // Taking the greater name keeps the choice stable.
                     (one, other) -> one.compareTo(other) > 0 ? one : other)));
   }
 }
--- a/entry/src/test/java/dev/ibishub/entry/GroupControllerTest.java
+++ b/entry/src/test/java/dev/ibishub/entry/GroupControllerTest.java
@@ -19,25 +19,25 @@
 
 class GroupControllerTest {
   private final Deque<GroupCommand> sent = new ArrayDeque<>();
-  private boolean chosen = true;
+  private boolean elected = true;
   private Instant now = Instant.EPOCH;
   private Optional<byte[]> plan = Optional.empty();
-  private long promised;
+  private long highestEpochAtRank;
   private final GroupController controller =
       new GroupController(
           "dictionary",
           1,
           5,
           GroupLeaderOptions.defaults(),
-          () -> chosen,
+          () -> elected,
           (rank, command) -> sent.add(command),
           (statuses, map, at) -> plan,
           Duration.ofSeconds(1),
           () -> now);
 
   @Test
-  void entryThatIsNotChosenSendsNothing() {
-    chosen = false;
+  void entryThatIsNotElectedSendsNothing() {
+    elected = false;
     controller.tick();
 
     assertThat(sent).isEmpty();
@@ -45,10 +45,10 @@
   }
 
   @Test
-  void chosenEntryTakesOverAndSwitchesToAPlannedMap() {
+  void electedEntryLeadsAndSwitchesToPlannedMap() {
     plan = Optional.of(new byte[] {3});
     controller.tick();
-    List<GroupCommandKind> kinds = answerAll();
+    List<GroupCommandKind> kinds = replyToAll();
 
     assertThat(kinds)
         .containsSubsequence(
@@ -60,32 +60,32 @@
     assertThat(controller.phase()).contains(Phase.READY);
   }
 
-  // A leader is paused, another entry takes over, and it wakes. It must not fight for the lead at
-  // once, or the two would depose each other without end and no switch would ever be done.
+  // Guards against two leaders deposing each other without end, so that no switch completes: a
+  // leader pauses, another entry takes over, and the first one resumes.
   @Test
-  void deposedLeaderPausesAndThenTakesAHigherEpoch() {
+  void deposedLeaderBacksOffAndThenTakesHigherEpoch() {
     controller.tick();
     long first = sent.peek().getEpoch();
-    promised = first + (1L << 30);
-    answerAll();
+    highestEpochAtRank = first + (1L << 30);
+    replyToAll();
     sent.clear();
     controller.tick();
     assertThat(sent).isEmpty();
 
     now = now.plus(GroupLeaderOptions.defaults().holdFor());
     controller.tick();
-    assertThat(sent.peek().getEpoch()).isGreaterThan(promised);
+    assertThat(sent.peek().getEpoch()).isGreaterThan(highestEpochAtRank);
   }
 
-  /** Answers as one rank would that obeys all, a bounded number of commands. */
-  private List<GroupCommandKind> answerAll() {
-    Deque<GroupCommand> answered = new ArrayDeque<>();
+  /** Replies to at most 20 commands as one rank that accepts them all. */
+  private List<GroupCommandKind> replyToAll() {
+    Deque<GroupCommand> handled = new ArrayDeque<>();
     long staged = 0;
     long hold = 0;
     long version = 1;
     for (int i = 0; i < 20 && !sent.isEmpty(); i++) {
       GroupCommand command = sent.poll();
-      answered.add(command);
+      handled.add(command);
       switch (command.getKind()) {
         case GROUP_COMMAND_KIND_STAGE -> staged = command.getMapVersion();
         case GROUP_COMMAND_KIND_HOLD -> hold = command.getStep();
@@ -105,7 +105,7 @@
               .setSequence(command.getSequence())
               .setKind(command.getKind())
               .setResultCode(ResultCode.OK.number())
-              .setHighestEpoch(Math.max(promised, command.getEpoch()))
+              .setHighestEpoch(Math.max(highestEpochAtRank, command.getEpoch()))
               .setCurrentStep(3)
               .setCurrentMapVersion(version)
               .setStagedMapVersion(staged)
@@ -113,6 +113,6 @@
               .setStepMillis(5)
               .build());
     }
-    return answered.stream().map(GroupCommand::getKind).collect(Collectors.toList());
+    return handled.stream().map(GroupCommand::getKind).collect(Collectors.toList());
   }
 }
