--- a/entry/src/main/java/dev/ibishub/entry/Entry.java
+++ b/entry/src/main/java/dev/ibishub/entry/Entry.java
@@ -163,7 +163,7 @@
 
   private void open() {
     configuration.start();
-    OrderDesk orders = orderDesk();
+    OrderSender orders = newOrderSender();
     addPages(orders);
     every(LIST_MILLIS, this::readList);
     every(CONNECT_MILLIS, targets::connectAll);
@@ -178,7 +178,7 @@
             .with("peerPort", membership.self().port()));
   }
 
-  private void addPages(OrderDesk orders) {
+  private void addPages(OrderSender orders) {
     callerPages().addTo(server);
     new OperatorEndpoints(settings, operatorApi(orders)).addTo(server);
     MetricsPage.addTo(http, metrics.registry(), this::isReady);
@@ -216,17 +216,16 @@
   }
 
   /** What one entry does for all; views may differ, so each duty does no harm when done twice. */
-  private void startOwnDuties(OrderDesk orders) {
-    Rendezvous rendezvous = new Rendezvous(membership);
+  private void startOwnDuties(OrderSender orders) {
+    TaskAssignment tasks = new TaskAssignment(membership);
     PlacementReconciler placements =
-        new PlacementReconciler(
-            configuration::current, targets::reports, rendezvous::isMine, orders);
+        new PlacementReconciler(configuration::current, targets::reports, tasks::ownsTask, orders);
     every(PLACEMENT_MILLIS, placements::tick);
     GroupControllers leads =
         new GroupControllers(
             configuration::current,
             targets,
-            rendezvous::isMine,
+            tasks::ownsTask,
             ExpertBalancer::new,
             membership.self().incarnation(),
             clock);
@@ -242,8 +241,8 @@
     every(SNAPSHOT_MILLIS, snapshots::appendIfDue);
   }
 
-  private OrderDesk orderDesk() {
-    OrderDesk orders = new OrderDesk(targets::link, clock);
+  private OrderSender newOrderSender() {
+    OrderSender orders = new OrderSender(targets::link, clock);
     targets.addFrameListener(
         frame -> {
           if (frame.hasOrderReply()) {
@@ -253,7 +252,7 @@
     return orders;
   }
 
-  private OperatorApi operatorApi(OrderDesk orders) {
+  private OperatorApi operatorApi(OrderSender orders) {
     StatusDocument status = new StatusDocument(configuration, membership, targets, clock);
     return OperatorApi.create(
         configuration, publisher, AuditTrail.on(log), orders, status::json, clock);
--- a/entry/src/main/java/dev/ibishub/entry/GroupControllers.java
+++ b/entry/src/main/java/dev/ibishub/entry/GroupControllers.java
@@ -23,7 +23,7 @@
 
   private final Supplier<Configuration> configuration;
   private final TargetLinks links;
-  private final Predicate<String> isMine;
+  private final Predicate<String> ownsTask;
   private final Function<Group, GroupController.Planner> plannerFactory;
   private final long processIncarnation;
   private final InstantSource clock;
@@ -33,13 +33,13 @@
   GroupControllers(
       Supplier<Configuration> configuration,
       TargetLinks links,
-      Predicate<String> isMine,
+      Predicate<String> ownsTask,
       Function<Group, GroupController.Planner> plannerFactory,
       long processIncarnation,
       InstantSource clock) {
     this.configuration = configuration;
     this.links = links;
-    this.isMine = isMine;
+    this.ownsTask = ownsTask;
     this.plannerFactory = plannerFactory;
     this.processIncarnation = processIncarnation;
     this.clock = clock;
@@ -79,7 +79,7 @@
   }
 
   private boolean isElected(Group group) {
-    return ranksOf(group.name()).size() == group.ranks() && isMine.test("group:" + group.name());
+    return ranksOf(group.name()).size() == group.ranks() && ownsTask.test("group:" + group.name());
   }
 
   private void send(String group, int rank, GroupCommand command) {
--- a/entry/src/main/java/dev/ibishub/entry/OrderDesk.java
+++ b/entry/src/main/java/dev/ibishub/entry/OrderSender.java
@@ -17,15 +17,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** Sends orders to agents and matches their replies. Thread-safe. */
-final class OrderDesk implements TargetOrders {
-  private static final long PATIENCE_SECONDS = 5;
+/** Sends orders to agents and matches replies to them. Thread-safe. */
+final class OrderSender implements TargetOrders {
+  private static final long REPLY_TIMEOUT_SECONDS = 5;
 
   private final Function<String, Optional<Link>> links;
   private final InstantSource clock;
-  private final Map<String, CompletableFuture<OrderReply>> open = new ConcurrentHashMap<>();
+  private final Map<String, CompletableFuture<OrderReply>> pendingReplies =
+      new ConcurrentHashMap<>();
 
-  OrderDesk(Function<String, Optional<Link>> links, InstantSource clock) {
+  OrderSender(Function<String, Optional<Link>> links, InstantSource clock) {
     this.links = links;
     this.clock = clock;
   }
@@ -44,12 +45,13 @@
   /**
    * Sends one order.
    *
-   * @return the agent's reply; fails with {@code TARGET_UNREACHABLE} when the order was surely not
-   *     sent, {@code ORDER_UNDECIDED} when no reply came, or with the code of the agent's refusal
+   * @return the agent's reply; fails with {@code TARGET_UNREACHABLE} if the order was certainly not
+   *     sent, with {@code ORDER_UNDECIDED} if no reply came in time, or with the code of the
+   *     agent's refusal
    */
   CompletableFuture<OrderReply> send(String target, OrderRequest order) {
     CompletableFuture<OrderReply> reply = new CompletableFuture<>();
-    open.put(order.getOrderId(), reply);
+    pendingReplies.put(order.getOrderId(), reply);
     boolean sent =
         links
             .apply(target)
@@ -60,17 +62,18 @@
           new ResultException(ResultCode.TARGET_UNREACHABLE, "no link to " + target));
     }
     return reply
-        .completeOnTimeout(undecided(order), PATIENCE_SECONDS, TimeUnit.SECONDS)
-        .whenComplete((done, failure) -> open.remove(order.getOrderId()))
-        .thenApply(this::requireTaken);
+        .completeOnTimeout(undecidedReply(order), REPLY_TIMEOUT_SECONDS, TimeUnit.SECONDS)
+        .whenComplete((done, failure) -> pendingReplies.remove(order.getOrderId()))
+        .thenApply(this::requireAccepted);
   }
 
-  /** Takes a reply; one that nobody waits for any more is dropped. */
+  /** Completes the order that a reply belongs to; drops a reply that came too late. */
   void onReply(OrderReply reply) {
-    Optional.ofNullable(open.get(reply.getOrderId())).ifPresent(waiting -> waiting.complete(reply));
+    Optional.ofNullable(pendingReplies.get(reply.getOrderId()))
+        .ifPresent(pending -> pending.complete(reply));
   }
 
-  private OrderReply requireTaken(OrderReply reply) {
+  private OrderReply requireAccepted(OrderReply reply) {
     ResultCode code = ResultCode.ofNumber(reply.getResultCode()).orElse(ResultCode.ORDER_UNDECIDED);
     if (code != ResultCode.OK) {
       Instant retryAt = clock.instant().plusSeconds(1);
@@ -79,8 +82,11 @@
     return reply;
   }
 
-  /** An order that was sent may have taken effect whatever became of its reply. */
-  private static OrderReply undecided(OrderRequest order) {
+  /**
+   * Returns the reply assumed after the timeout: an order that was sent may have taken effect even
+   * if its reply is lost.
+   */
+  private static OrderReply undecidedReply(OrderRequest order) {
     return OrderReply.newBuilder()
         .setOrderId(order.getOrderId())
         .setResultCode(ResultCode.ORDER_UNDECIDED.number())
--- a/entry/src/main/java/dev/ibishub/entry/PlacementReconciler.java
+++ b/entry/src/main/java/dev/ibishub/entry/PlacementReconciler.java
@@ -16,85 +16,91 @@
 import java.util.stream.Stream;
 
 /**
- * Brings each target to what the configuration places on it, by orders to its agent. The fencing
- * token of an order is the revision that it carries out: an entry that was cut off, or paused, and
- * still has an older revision is refused by the agent. Orders of one revision say the same whoever
- * gives them, so two entries that both think a target theirs do no harm. Thread-safe.
+ * Reconciles the models on each target with the configured placement, by orders to its agent. An
+ * order's fencing token is the configuration revision that it carries out, so agents refuse the
+ * orders of an entry that was partitioned or paused and still has an older revision. Orders of one
+ * revision are the same from any entry, so two entries that both own a target do no harm.
+ * Thread-safe.
  */
 final class PlacementReconciler {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private final Supplier<Configuration> configuration;
   private final Supplier<Stream<TargetReport>> reports;
-  private final Predicate<String> isMine;
-  private final OrderDesk orders;
-  private final Set<String> open = ConcurrentHashMap.newKeySet();
+  private final Predicate<String> ownsTask;
+  private final OrderSender orders;
+  private final Set<String> targetsWithOpenOrder = ConcurrentHashMap.newKeySet();
 
   PlacementReconciler(
       Supplier<Configuration> configuration,
       Supplier<Stream<TargetReport>> reports,
-      Predicate<String> isMine,
-      OrderDesk orders) {
+      Predicate<String> ownsTask,
+      OrderSender orders) {
     this.configuration = configuration;
     this.reports = reports;
-    this.isMine = isMine;
+    this.ownsTask = ownsTask;
     this.orders = orders;
   }
 
-  /** Gives the next order to each target that differs; one at a time for each. */
+  /**
+   * Sends the next order to each target that differs from its placement, with at most one open
+   * order for each target.
+   */
   void tick() {
     Configuration current = configuration.get();
     reports
         .get()
         .filter(report -> current.placements().containsKey(report.getTarget()))
         .filter(report -> report.getService().isEmpty() && !report.getLeaving())
-        .filter(report -> isMine.test(report.getTarget()))
+        .filter(report -> ownsTask.test(report.getTarget()))
         .forEach(report -> reconcile(report, current));
   }
 
   private void reconcile(TargetReport report, Configuration current) {
-    Set<String> wanted = wanted(current.placements().get(report.getTarget()));
+    Set<String> desired = desired(current.placements().get(report.getTarget()));
     Set<String> served = Set.copyOf(report.getServedList());
     Stream<OrderRequest> loads =
-        wanted.stream()
+        desired.stream()
             .filter(name -> !served.contains(name))
             .sorted()
             .map(name -> order("load", name, report.getTarget(), current.revision()));
     Stream<OrderRequest> unloads =
         served.stream()
-            .filter(name -> !wanted.contains(name))
+            .filter(name -> !desired.contains(name))
             .sorted()
             .map(name -> order("unload", name, report.getTarget(), current.revision()));
-    Stream.concat(loads, unloads).findFirst().ifPresent(order -> give(report.getTarget(), order));
+    Stream.concat(loads, unloads)
+        .findFirst()
+        .ifPresent(order -> sendOrder(report.getTarget(), order));
   }
 
-  private void give(String target, OrderRequest order) {
-    if (!open.add(target)) {
+  private void sendOrder(String target, OrderRequest order) {
+    if (!targetsWithOpenOrder.add(target)) {
       return;
     }
     orders
         .send(target, order)
         .whenComplete(
             (reply, failure) -> {
-              open.remove(target);
+              targetsWithOpenOrder.remove(target);
               LogEvent event =
                   LogEvent.of("order.given")
                       .with("target", target)
                       .with("kind", order.getKind())
                       .with("model", order.getModel())
                       .with("revision", order.getFencingToken());
-              logger.atInfo().log("%s", failure == null ? event : with(event, failure));
+              logger.atInfo().log("%s", failure == null ? event : withFailure(event, failure));
             });
   }
 
-  private static LogEvent with(LogEvent event, Throwable failure) {
+  private static LogEvent withFailure(LogEvent event, Throwable failure) {
     Throwable cause = failure.getCause() == null ? failure : failure.getCause();
     return cause instanceof ResultException result
         ? event.code(result.code()).with("detail", result.getMessage())
         : event.with("detail", cause);
   }
 
-  private static Set<String> wanted(Placement placement) {
+  private static Set<String> desired(Placement placement) {
     List<String> versions = placement.versions();
     Stream<String> models =
         placement.models().stream()
@@ -109,7 +115,10 @@
     return Stream.concat(models, adapters).collect(Collectors.toSet());
   }
 
-  /** The order's name tells what it is for, so that one given twice is done once. */
+  /**
+   * Creates an order whose id is derived from its content, so that an order sent twice is carried
+   * out once.
+   */
   private static OrderRequest order(String kind, String name, String target, long revision) {
     String[] model = name.split("[@+]", 2);
     boolean version = name.contains("@");
--- a/entry/src/main/java/dev/ibishub/entry/Rendezvous.java
+++ b/entry/src/main/java/dev/ibishub/entry/TaskAssignment.java
@@ -7,18 +7,18 @@
 import java.util.stream.Stream;
 
 /**
- * Chooses one live entry for a task by rendezvous hashing. Entries whose views differ may choose
- * different ones, so what is chosen here must do no harm when done twice.
+ * Assigns tasks to live entries by rendezvous hashing. Entries whose membership views differ may
+ * both own a task, so a task assigned here must be safe to run twice.
  */
-final class Rendezvous {
+final class TaskAssignment {
   private final Membership membership;
 
-  Rendezvous(Membership membership) {
+  TaskAssignment(Membership membership) {
     this.membership = membership;
   }
 
-  /** Whether this entry is the one for a task, as far as it knows. */
-  boolean isMine(String task) {
+  /** Whether this entry owns a task, by its own view of the membership. */
+  boolean ownsTask(String task) {
     String self = membership.self().id();
     return membership.leavingSince().isEmpty()
         && Stream.concat(Stream.of(self), membership.liveEntries().stream().map(MemberRecord::id))
--- a/entry/src/test/java/dev/ibishub/entry/PlacementReconcilerTest.java
+++ b/entry/src/test/java/dev/ibishub/entry/PlacementReconcilerTest.java
@@ -22,18 +22,19 @@
 
   private final EmbeddedChannel channel = new EmbeddedChannel();
   private final Link link = Link.over(channel, new Link.Peer("model-1", "agent", "vake", 1));
-  private final OrderDesk orders = new OrderDesk(target -> Optional.of(link), () -> Instant.EPOCH);
+  private final OrderSender orders =
+      new OrderSender(target -> Optional.of(link), () -> Instant.EPOCH);
   private List<String> served = List.of("dictionary");
-  private boolean mine = true;
+  private boolean ownsTarget = true;
   private final PlacementReconciler reconciler =
       new PlacementReconciler(
           PlacementReconcilerTest::configuration,
           () -> Stream.of(report()),
-          target -> mine,
+          target -> ownsTarget,
           orders);
 
   @Test
-  void missingModelIsLoadedUnderTheRevisionAsFencingToken() {
+  void missingModelIsLoadedWithRevisionAsFencingToken() {
     reconciler.tick();
 
     assertThat(sent())
@@ -47,7 +48,7 @@
   }
 
   @Test
-  void nextOrderWaitsForTheReplyToTheOneBefore() {
+  void nextOrderWaitsForReplyToPreviousOrder() {
     reconciler.tick();
     reconciler.tick();
     assertThat(sent()).hasSize(1);
@@ -69,7 +70,7 @@
 
   @Test
   void targetOfAnotherEntryGetsNoOrder() {
-    mine = false;
+    ownsTarget = false;
 
     reconciler.tick();
 
