--- a/entry/src/main/java/dev/ibishub/entry/CallerEndpoints.java
+++ b/entry/src/main/java/dev/ibishub/entry/CallerEndpoints.java
@@ -59,7 +59,7 @@
   private final EntrySettings settings;
   private final RequestContext context;
   private final CallerServer server;
-  private final Workspaces workspaces;
+  private final WorkspaceAuthenticator authenticator;
   private final Supplier<Configuration> configuration;
   private final Admission admission;
   private final AddressBook addresses;
@@ -70,7 +70,7 @@
       EntrySettings settings,
       RequestContext context,
       CallerServer server,
-      Workspaces workspaces,
+      WorkspaceAuthenticator authenticator,
       Supplier<Configuration> configuration,
       Admission admission,
       AddressBook addresses,
@@ -79,7 +79,7 @@
     this.settings = settings;
     this.context = context;
     this.server = server;
-    this.workspaces = workspaces;
+    this.authenticator = authenticator;
     this.configuration = configuration;
     this.admission = admission;
     this.addresses = addresses;
@@ -273,7 +273,7 @@
 
   private CompletionRequestParser.RequestMetadata metadata(
       HttpExchange exchange, String requestId) {
-    Workspace workspace = workspaces.of(exchange.getRequestHeaders());
+    Workspace workspace = authenticator.authenticate(exchange.getRequestHeaders());
     boolean acceptsRestart = "accept".equals(header(exchange, "Ibishub-Restart"));
     return new CompletionRequestParser.RequestMetadata(
         requestId, workspace, deadline(exchange), acceptsRestart);
--- a/entry/src/main/java/dev/ibishub/entry/Entry.java
+++ b/entry/src/main/java/dev/ibishub/entry/Entry.java
@@ -207,7 +207,7 @@
         settings,
         context,
         server,
-        new Workspaces(configuration::current),
+        new WorkspaceAuthenticator(configuration::current),
         configuration::current,
         admission,
         addresses,
--- a/entry/src/main/java/dev/ibishub/entry/Workspaces.java
+++ b/entry/src/main/java/dev/ibishub/entry/WorkspaceAuthenticator.java
@@ -13,33 +13,33 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** Who a caller is, by its key. Thread-safe. */
-final class Workspaces {
+/** Authenticates callers: finds the workspace that an API key belongs to. Thread-safe. */
+final class WorkspaceAuthenticator {
   private final Supplier<Configuration> configuration;
   private volatile Index index = new Index(0, Map.of());
 
   private record Index(long revision, Map<String, Workspace> byKey) {}
 
-  Workspaces(Supplier<Configuration> configuration) {
+  WorkspaceAuthenticator(Supplier<Configuration> configuration) {
     this.configuration = configuration;
   }
 
   /**
-   * Finds the workspace of a request. Keys are looked up by their SHA-256, so the time that a
-   * look-up takes tells nothing about a key.
+   * Returns the workspace of a request. Keys are looked up by their SHA-256, so that the duration
+   * of a look-up reveals nothing about a key.
    *
-   * @throws ResultException with {@code UNAUTHENTICATED}, and with {@code NOT_READY} while nothing
-   *     is known of the configuration: a fresh entry that said "unauthenticated" would turn a
-   *     caller away for good that any other entry serves
+   * @throws ResultException with {@code UNAUTHENTICATED} if no workspace has the key, and with
+   *     {@code NOT_READY} while this entry has no configuration: answering {@code UNAUTHENTICATED}
+   *     then would make a caller give up although other entries serve it
    */
-  Workspace of(Headers headers) {
+  Workspace authenticate(Headers headers) {
     Configuration current = configuration.get();
     if (current.revision() == 0) {
       throw new ResultException(ResultCode.NOT_READY, "this entry has no configuration yet");
     }
-    Map<String, Workspace> byKey = keysOf(current);
+    Map<String, Workspace> byKey = workspacesByKey(current);
     return HttpExchanges.bearerToken(headers)
-        .map(Workspaces::sha256)
+        .map(WorkspaceAuthenticator::sha256)
         .flatMap(hash -> Optional.ofNullable(byKey.get(hash)))
         .orElseThrow(
             () ->
@@ -47,14 +47,17 @@
                     ResultCode.UNAUTHENTICATED, "no workspace has the key in Authorization"));
   }
 
-  /** The index is made anew by the first request that sees a new configuration. */
-  private Map<String, Workspace> keysOf(Configuration current) {
-    Index known = index;
-    if (known.revision() != current.revision()) {
-      known = new Index(current.revision(), current.workspacesByKey());
-      index = known;
+  /**
+   * Returns the index of the current configuration, rebuilt by the first request that sees a new
+   * revision.
+   */
+  private Map<String, Workspace> workspacesByKey(Configuration current) {
+    Index cached = index;
+    if (cached.revision() != current.revision()) {
+      cached = new Index(current.revision(), current.workspacesByKey());
+      index = cached;
     }
-    return known.byKey();
+    return cached.byKey();
   }
 
   private static String sha256(String key) {
--- a/entry/src/test/java/dev/ibishub/entry/WorkspacesTest.java
+++ b/entry/src/test/java/dev/ibishub/entry/WorkspaceAuthenticatorTest.java
@@ -13,40 +13,41 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class WorkspacesTest {
+class WorkspaceAuthenticatorTest {
   private static final String SHA256_OF_KEY =
       "2c70e12b7a0646f92279f427c7b38e7334d8e5389cff167a1dc30e73f826b683";
 
   private Configuration configuration = Configuration.empty("tbilisi");
-  private final Workspaces workspaces = new Workspaces(() -> configuration);
+  private final WorkspaceAuthenticator authenticator =
+      new WorkspaceAuthenticator(() -> configuration);
 
   /**
-   * A school portal is told that its key is wrong and gives up. It came back for its stream at an
-   * entry that had just been replaced and had not read the configuration yet.
+   * Guards against a valid caller giving up: it reaches an entry that has just been replaced and
+   * has not read the configuration yet, and must not be told that its key is wrong.
    */
   @Test
-  void freshEntryIsNotReadyInsteadOfTurningCallersAway() {
-    assertThatThrownBy(() -> workspaces.of(headers("key")))
+  void entryWithoutConfigurationFailsWithNotReady() {
+    assertThatThrownBy(() -> authenticator.authenticate(headers("key")))
         .isInstanceOfSatisfying(
             ResultException.class,
-            refusal -> assertThat(refusal.code()).isEqualTo(ResultCode.NOT_READY));
+            failure -> assertThat(failure.code()).isEqualTo(ResultCode.NOT_READY));
   }
 
   @Test
-  void keyIsKnownAsSoonAsItsConfigurationIs() {
+  void keyIsAcceptedOnceItsConfigurationIsKnown() {
     configuration = withWorkspace(1);
 
-    assertThat(workspaces.of(headers("key")).name()).isEqualTo("school-portal");
+    assertThat(authenticator.authenticate(headers("key")).name()).isEqualTo("school-portal");
   }
 
   @Test
-  void unknownKeyIsRefused() {
+  void unknownKeyFailsWithUnauthenticated() {
     configuration = withWorkspace(1);
 
-    assertThatThrownBy(() -> workspaces.of(headers("other")))
+    assertThatThrownBy(() -> authenticator.authenticate(headers("other")))
         .isInstanceOfSatisfying(
             ResultException.class,
-            refusal -> assertThat(refusal.code()).isEqualTo(ResultCode.UNAUTHENTICATED));
+            failure -> assertThat(failure.code()).isEqualTo(ResultCode.UNAUTHENTICATED));
   }
 
   private static Headers headers(String key) {
