--- a/entry/src/main/java/dev/ibishub/entry/Entry.java
+++ b/entry/src/main/java/dev/ibishub/entry/Entry.java
@@ -45,28 +45,32 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.LockSupport;
 
-/** One entry process: puts the parts together, starts and stops them. */
+/**
+ * An entry process, which faces callers behind ibishub's own interface: creates, starts and stops
+ * its parts.
+ */
 public final class Entry {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final int BACKLOG = 1_024;
-  private static final int MOST_ADDRESSES = 3;
-  private static final double NEWS_SECONDS = 2;
-  private static final long CONNECT_MILLIS = 200;
-  private static final long TELL_MILLIS = 250;
+  private static final int MAXIMUM_ADDRESSES = 3;
+  private static final double GOSSIP_DELAY_SECONDS = 2;
+  private static final long CONNECT_INTERVAL_MILLIS = 200;
+  private static final long GOSSIP_INTERVAL_MILLIS = 250;
 
   /**
-   * Requests are keyed by a head of 64 characters, some 16 tokens, whose prefill takes a few
-   * milliseconds. With the core's default, made for heads of thousands of tokens, whole workspaces
-   * waited for one target while others had free places.
+   * Wait that a cached prefix is worth. Requests are keyed by a prefix of 64 characters, some 16
+   * tokens, whose prefill takes a few milliseconds. The core's default is made for prefixes of
+   * thousands of tokens; with it, whole workspaces queued for one target while others had free
+   * slots.
    */
   private static final double PREFIX_SAVING_SECONDS = 0.005;
 
-  private static final long PLACEMENT_MILLIS = 1_000;
-  private static final long LEAD_MILLIS = 50;
-  private static final long SNAPSHOT_MILLIS = 2_000;
-  private static final long LIST_MILLIS = 1_000;
-  private static final long DRAIN_POLL_MILLIS = 50;
-  private static final Duration PUBLISH_PATIENCE = Duration.ofSeconds(5);
+  private static final long PLACEMENT_INTERVAL_MILLIS = 1_000;
+  private static final long GROUP_TICK_INTERVAL_MILLIS = 50;
+  private static final long SNAPSHOT_INTERVAL_MILLIS = 2_000;
+  private static final long LIST_INTERVAL_MILLIS = 1_000;
+  private static final long DRAIN_POLL_INTERVAL_MILLIS = 50;
+  private static final Duration PUBLISH_TIMEOUT = Duration.ofSeconds(5);
 
   private final EntrySettings settings;
   private final InstantSource clock = InstantSource.system();
@@ -77,7 +81,7 @@
       Router.create(RouterOptions.defaults().withPrefixSavingSeconds(PREFIX_SAVING_SECONDS));
   private final Admission admission = Admission.create(AdmissionOptions.defaults());
   private final WireTransport transport;
-  private final VirtualMachineList list;
+  private final VirtualMachineList machineList;
   private final AppendOnlyLog log;
   private final ConfigurationFollower configuration;
   private final HttpServer http;
@@ -87,7 +91,7 @@
   private final TargetLinks targets;
   private final PeerLinks peers;
   private final ConfigurationPublisher publisher;
-  private volatile boolean refusing;
+  private volatile boolean refusingRequests;
 
   private Entry(EntrySettings settings, Optional<TlsContexts> tls) throws IOException {
     this.settings = settings;
@@ -96,21 +100,23 @@
     this.transport = WireTransport.create(identity, tls);
     HttpClient client = OutboundHttp.newClient(threads);
     this.log = HttpAppendOnlyLog.create(URI.create(settings.logUrl()), client);
-    this.list = HttpVirtualMachineList.create(URI.create(settings.virtualMachineListUrl()), client);
+    this.machineList =
+        HttpVirtualMachineList.create(URI.create(settings.virtualMachineListUrl()), client);
     this.configuration =
         ConfigurationFollower.create(
             log, settings.site(), ConfigurationFollower.Options.defaults());
-    this.publisher = ConfigurationPublisher.create(log, configuration, clock, PUBLISH_PATIENCE);
+    this.publisher = ConfigurationPublisher.create(log, configuration, clock, PUBLISH_TIMEOUT);
     this.http =
         HttpServer.create(new InetSocketAddress(settings.host(), settings.callerPort()), BACKLOG);
     http.setExecutor(threads);
     this.server = new CallerServer(http, settings, incarnation, clock);
     DeferredLinkListener listener = new DeferredLinkListener();
     int peerPort = transport.listen(settings.host(), settings.peerPort(), listener).join();
-    this.membership = Membership.create(self(incarnation, peerPort), MembershipOptions.defaults());
+    this.membership =
+        Membership.create(newSelfRecord(incarnation, peerPort), MembershipOptions.defaults());
     this.addresses =
         AddressBook.create(
-            membership, settings.addressValiditySeconds(), NEWS_SECONDS, MOST_ADDRESSES);
+            membership, settings.addressValiditySeconds(), GOSSIP_DELAY_SECONDS, MAXIMUM_ADDRESSES);
     this.targets = new TargetLinks(transport, membership, router, clock);
     this.peers = new PeerLinks(transport, membership, configuration, admission, clock);
     listener.setDelegate(peers);
@@ -121,17 +127,18 @@
    *
    * @param settings checked settings
    * @return the running entry
-   * @throws IOException if a key file cannot be read or the caller port cannot be had
+   * @throws IOException if a key file cannot be read or the caller port cannot be bound
    */
   public static Entry start(EntrySettings settings) throws IOException {
     Entry entry = new Entry(settings, tls(settings));
-    entry.open();
+    entry.startServing();
     return entry;
   }
 
   /**
-   * Leaves without cutting anything off: is unlisted at once, serves until the last answer that
-   * names it has run out, lets what is in flight end, and returns.
+   * Drains and closes this entry, and returns when done. The entry leaves the address list at once,
+   * serves until the last address list that names it has expired, then refuses new requests and
+   * lets those in flight end. All of this takes at most the configured drain time.
    */
   public void drain() {
     Instant deadline = clock.instant().plusSeconds(settings.drainSeconds());
@@ -140,9 +147,9 @@
     logger.atInfo().log("%s", LogEvent.of("entry.leaving"));
     Instant serveUntil =
         addresses.servesUntil().filter(until -> until.isBefore(deadline)).orElse(deadline);
-    await(serveUntil, false);
-    refusing = true;
-    await(deadline, true);
+    waitUntil(serveUntil, false);
+    refusingRequests = true;
+    waitUntil(deadline, true);
     logger.atInfo().log("%s", LogEvent.of("entry.drained").with("inFlight", server.inFlight()));
     close();
   }
@@ -155,21 +162,21 @@
     threads.shutdown();
   }
 
-  private void await(Instant until, boolean onlyWhileBusy) {
+  private void waitUntil(Instant until, boolean onlyWhileBusy) {
     while (clock.instant().isBefore(until) && !(onlyWhileBusy && server.inFlight() == 0)) {
-      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(DRAIN_POLL_MILLIS));
+      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(DRAIN_POLL_INTERVAL_MILLIS));
     }
   }
 
-  private void open() {
+  private void startServing() {
     configuration.start();
     OrderSender orders = newOrderSender();
-    addPages(orders);
-    every(LIST_MILLIS, this::readList);
-    every(CONNECT_MILLIS, targets::connectAll);
-    every(CONNECT_MILLIS, peers::connectAll);
-    every(TELL_MILLIS, this::tellPeers);
-    startOwnDuties(orders);
+    addEndpoints(orders);
+    scheduleEvery(LIST_INTERVAL_MILLIS, this::readMachineList);
+    scheduleEvery(CONNECT_INTERVAL_MILLIS, targets::connectAll);
+    scheduleEvery(CONNECT_INTERVAL_MILLIS, peers::connectAll);
+    scheduleEvery(GOSSIP_INTERVAL_MILLIS, this::gossip);
+    startAssignedTasks(orders);
     http.start();
     logger.atInfo().log(
         "%s",
@@ -178,8 +185,8 @@
             .with("peerPort", membership.self().port()));
   }
 
-  private void addPages(OrderSender orders) {
-    callerPages().addTo(server);
+  private void addEndpoints(OrderSender orders) {
+    newCallerEndpoints().addTo(server);
     new OperatorEndpoints(settings, operatorApi(orders)).addTo(server);
     MetricsPage.addTo(http, metrics.registry(), this::isReady);
     metrics.gauge("ibishub_entry_in_flight", "Requests in flight.", server::inFlight);
@@ -191,7 +198,7 @@
         () -> configuration.current().revision());
   }
 
-  private CallerEndpoints callerPages() {
+  private CallerEndpoints newCallerEndpoints() {
     RequestContext context =
         new RequestContext(
             settings.zone(),
@@ -215,13 +222,16 @@
         metrics);
   }
 
-  /** What one entry does for all; views may differ, so each duty does no harm when done twice. */
-  private void startOwnDuties(OrderSender orders) {
+  /**
+   * Starts the tasks that one entry runs for all. Membership views may differ, so each task is safe
+   * to run on two entries.
+   */
+  private void startAssignedTasks(OrderSender orders) {
     TaskAssignment tasks = new TaskAssignment(membership);
     PlacementReconciler placements =
         new PlacementReconciler(configuration::current, targets::reports, tasks::ownsTask, orders);
-    every(PLACEMENT_MILLIS, placements::tick);
-    GroupControllers leads =
+    scheduleEvery(PLACEMENT_INTERVAL_MILLIS, placements::tick);
+    GroupControllers controllers =
         new GroupControllers(
             configuration::current,
             targets,
@@ -229,8 +239,8 @@
             ExpertBalancer::new,
             membership.self().incarnation(),
             clock);
-    targets.addFrameListener(leads::onFrame);
-    every(LEAD_MILLIS, leads::tick);
+    targets.addFrameListener(controllers::onFrame);
+    scheduleEvery(GROUP_TICK_INTERVAL_MILLIS, controllers::tick);
     ConfigurationSnapshots snapshots =
         ConfigurationSnapshots.create(
             log,
@@ -238,7 +248,7 @@
             settings.processId(),
             () -> membership.liveEntries().stream().map(MemberRecord::id).toList(),
             Duration.ofSeconds(settings.logRetentionSeconds()));
-    every(SNAPSHOT_MILLIS, snapshots::appendIfDue);
+    scheduleEvery(SNAPSHOT_INTERVAL_MILLIS, snapshots::appendIfDue);
   }
 
   private OrderSender newOrderSender() {
@@ -259,7 +269,7 @@
   }
 
   private boolean isServing() {
-    return !refusing;
+    return !refusingRequests;
   }
 
   private boolean isReady() {
@@ -269,14 +279,15 @@
         && targets.linkCount() > 0;
   }
 
-  private void tellPeers() {
+  private void gossip() {
     membership.setLoad(server.inFlight());
     router.setEntries(1 + membership.liveEntries().size());
     peers.sendUpdates();
   }
 
-  private void readList() {
-    list.read()
+  private void readMachineList() {
+    machineList
+        .read()
         .thenAccept(
             machines ->
                 membership.listed(
@@ -285,15 +296,18 @@
 
   private void schedule(Instant when, Runnable task) {
     long millis = Math.max(0, Duration.between(clock.instant(), when).toMillis());
-    var unused = timers.schedule(guarded(task), millis, TimeUnit.MILLISECONDS);
+    var unused = timers.schedule(loggingFailures(task), millis, TimeUnit.MILLISECONDS);
   }
 
-  private void every(long millis, Runnable task) {
-    var unused = timers.scheduleWithFixedDelay(guarded(task), 0, millis, TimeUnit.MILLISECONDS);
+  private void scheduleEvery(long millis, Runnable task) {
+    var unused =
+        timers.scheduleWithFixedDelay(loggingFailures(task), 0, millis, TimeUnit.MILLISECONDS);
   }
 
-  /** A timer whose task throws is never run again, without a word. */
-  private static Runnable guarded(Runnable task) {
+  /**
+   * Logs the exceptions of a task; the executor would silently cancel a periodic task that throws.
+   */
+  private static Runnable loggingFailures(Runnable task) {
     return () -> {
       try {
         task.run();
@@ -303,7 +317,7 @@
     };
   }
 
-  private MemberRecord self(long incarnation, int peerPort) {
+  private MemberRecord newSelfRecord(long incarnation, int peerPort) {
     String url =
         settings
             .callerUrl()
--- a/entry/src/main/java/dev/ibishub/entry/EntryMain.java
+++ b/entry/src/main/java/dev/ibishub/entry/EntryMain.java
@@ -10,14 +10,14 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Command line of {@code ibishub-entry}. */
+/** Main class of {@code ibishub-entry}. */
 public final class EntryMain {
-  private static final String IDLE_CONNECTIONS = "16384";
+  private static final String MAXIMUM_IDLE_CONNECTIONS = "16384";
 
   private EntryMain() {}
 
   /**
-   * Runs the entry until it is told to stop.
+   * Runs the entry until a stop signal, then drains it.
    *
    * @param arguments see {@code ibishub-entry --help}
    */
@@ -36,13 +36,16 @@
         });
   }
 
-  /** The JDK's server reads these once, when its classes load, so they come before all else. */
+  /**
+   * Sets the properties of the JDK's HTTP server, which reads them once, when its classes load;
+   * therefore called before the entry is created.
+   */
   private static void configureHttpServer(EntrySettings settings) {
     // With Nagle's algorithm each small chunk would wait for the caller's delayed acknowledgement.
     System.setProperty("sun.net.httpserver.nodelay", "true");
     System.setProperty(
         "sun.net.httpserver.maxReqTime", Integer.toString(settings.slowSenderSeconds()));
-    System.setProperty("sun.net.httpserver.maxIdleConnections", IDLE_CONNECTIONS);
+    System.setProperty("sun.net.httpserver.maxIdleConnections", MAXIMUM_IDLE_CONNECTIONS);
   }
 
   private static EntrySettings readOrExit(Path file) {
--- a/entry/src/main/java/dev/ibishub/entry/EntryMetrics.java
+++ b/entry/src/main/java/dev/ibishub/entry/EntryMetrics.java
@@ -9,9 +9,9 @@
 import java.time.Instant;
 import java.util.function.DoubleSupplier;
 
-/** What an entry counts; docs/OPERATIONS.md says what each figure means. Thread-safe. */
+/** Metrics of an entry; docs/OPERATIONS.md says what each of them means. Thread-safe. */
 final class EntryMetrics {
-  private static final double NANOS = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private final PrometheusRegistry registry = new PrometheusRegistry();
   private final Counter requests =
@@ -26,7 +26,7 @@
           .help("Requests not admitted, by result code.")
           .labelNames("result")
           .register(registry);
-  private final Histogram seconds =
+  private final Histogram requestSeconds =
       Histogram.builder()
           .name("ibishub_entry_request_seconds")
           .help("From admission to the end of the answer.")
@@ -42,7 +42,7 @@
 
   void finished(ResultCode code, Instant startedAt, Instant now) {
     requests.labelValues(code.name()).inc();
-    seconds.observe(Duration.between(startedAt, now).toNanos() / NANOS);
+    requestSeconds.observe(Duration.between(startedAt, now).toNanos() / NANOS_PER_SECOND);
   }
 
   void gauge(String name, String help, DoubleSupplier value) {
--- a/entry/src/main/java/dev/ibishub/entry/package-info.java
+++ b/entry/src/main/java/dev/ibishub/entry/package-info.java
@@ -1,2 +1,2 @@
-/** ibishub-entry: the process that faces callers and operators. */
+/** The process {@code ibishub-entry}, which faces callers and operators. */
 package dev.ibishub.entry;
