--- a/entry/src/main/java/dev/ibishub/entry/WorkspaceAuthenticator.java
+++ b/entry/src/main/java/dev/ibishub/entry/WorkspaceAuthenticator.java
@@ -37,7 +37,7 @@
     if (current.revision() == 0) {
       throw new ResultException(ResultCode.NOT_READY, "this entry has no configuration yet");
     }
-    Map<String, Workspace> byKey = workspacesByKey(current);
+    Map<String, Workspace> byKey = keyIndex(current);
     return HttpExchanges.bearerToken(headers)
         .map(WorkspaceAuthenticator::sha256)
         .flatMap(hash -> Optional.ofNullable(byKey.get(hash)))
@@ -51,7 +51,7 @@
    * Returns the index of the current configuration, rebuilt by the first request that sees a new
    * revision.
    */
-  private Map<String, Workspace> workspacesByKey(Configuration current) {
+  private Map<String, Workspace> keyIndex(Configuration current) {
     Index cached = index;
     if (cached.revision() != current.revision()) {
       cached = new Index(current.revision(), current.workspacesByKey());
