--- a/entry/src/main/java/dev/ibishub/entry/Entry.java
+++ b/entry/src/main/java/dev/ibishub/entry/Entry.java
@@ -52,16 +52,21 @@
 public final class Entry {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final int BACKLOG = 1_024;
+
+  /** Entries named in one answer to a caller that asks for addresses. */
   private static final int MAXIMUM_ADDRESSES = 3;
-  private static final double GOSSIP_DELAY_SECONDS = 2;
+
+  /** Limit on the delay of messages between entries and on the difference of their clocks. */
+  private static final double MAXIMUM_GOSSIP_DELAY_SECONDS = 2;
+
   private static final long CONNECT_INTERVAL_MILLIS = 200;
   private static final long GOSSIP_INTERVAL_MILLIS = 250;
 
   /**
-   * Wait that a cached prefix is worth. Requests are keyed by a prefix of 64 characters, some 16
-   * tokens, whose prefill takes a few milliseconds. The core's default is made for prefixes of
-   * thousands of tokens; with it, whole workspaces queued for one target while others had free
-   * slots.
+   * Wait that a cached prefix is worth when choosing a target. Requests are keyed by a prefix of 64
+   * characters, some 16 tokens, whose prefill takes a few milliseconds. The core's default is made
+   * for prefixes of thousands of tokens; with it, whole workspaces queued for one target while
+   * others had free slots.
    */
   private static final double PREFIX_SAVING_SECONDS = 0.005;
 
@@ -116,7 +121,10 @@
         Membership.create(newSelfRecord(incarnation, peerPort), MembershipOptions.defaults());
     this.addresses =
         AddressBook.create(
-            membership, settings.addressValiditySeconds(), GOSSIP_DELAY_SECONDS, MAXIMUM_ADDRESSES);
+            membership,
+            settings.addressValiditySeconds(),
+            MAXIMUM_GOSSIP_DELAY_SECONDS,
+            MAXIMUM_ADDRESSES);
     this.targets = new TargetLinks(transport, membership, router, clock);
     this.peers = new PeerLinks(transport, membership, configuration, admission, clock);
     listener.setDelegate(peers);
@@ -207,7 +215,7 @@
             router,
             RetryBudget.defaults(),
             clock,
-            this::schedule,
+            this::scheduleAt,
             threads,
             () -> ThreadLocalRandom.current().nextLong());
     return new CallerEndpoints(
@@ -294,7 +302,7 @@
                     machines.stream().map(MemberConverter::fromList).toList(), clock.instant()));
   }
 
-  private void schedule(Instant when, Runnable task) {
+  private void scheduleAt(Instant when, Runnable task) {
     long millis = Math.max(0, Duration.between(clock.instant(), when).toMillis());
     var unused = timers.schedule(loggingFailures(task), millis, TimeUnit.MILLISECONDS);
   }
@@ -305,7 +313,8 @@
   }
 
   /**
-   * Logs the exceptions of a task; the executor would silently cancel a periodic task that throws.
+   * Wraps a task so that its exceptions are logged. The executor silently cancels a periodic task
+   * that throws.
    */
   private static Runnable loggingFailures(Runnable task) {
     return () -> {
