--- a/entry/src/main/java/dev/ibishub/entry/AnswerWriter.java
+++ b/entry/src/main/java/dev/ibishub/entry/AnswerWriter.java
@@ -5,9 +5,8 @@
 import java.io.IOException;
 
 /**
- * Sends the answer to one request to its caller. Behind ibishub's own interface; the gateway has a
- * path of its own. Calls come one at a time, in order; each may block while the caller reads
- * slowly.
+ * Sends the answer to one request to its caller, behind ibishub's own interface. Calls come one at
+ * a time, in order; each may block while the caller reads slowly.
  */
 interface AnswerWriter {
   /**
--- a/entry/src/main/java/dev/ibishub/entry/RequestRunner.java
+++ b/entry/src/main/java/dev/ibishub/entry/RequestRunner.java
@@ -27,9 +27,9 @@
 import java.util.Set;
 
 /**
- * Runs one request to its final result: chooses targets, makes attempts and assembles the answer.
- * Thread-safe: I/O threads and timers enter under one lock, and writes to the caller are queued in
- * order and run outside of it.
+ * Runs one request to its final result, behind ibishub's own interface: chooses targets, makes
+ * attempts and assembles the answer. Thread-safe: I/O threads and timers enter under one lock, and
+ * writes to the caller are queued in order and run outside of it.
  */
 final class RequestRunner implements TargetLinks.AttemptListener {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -321,7 +321,7 @@
 
   /**
    * Reattaches over a new link to the same incarnation of the agent, whose buffer holds the rest of
-   * the answer; retries until a timeout.
+   * the answer. Tries again until {@link #REATTACH_TIMEOUT} has passed.
    */
   private synchronized void reattach() {
     if (ended) {
--- a/entry/src/main/java/dev/ibishub/entry/TargetLinks.java
+++ b/entry/src/main/java/dev/ibishub/entry/TargetLinks.java
@@ -75,7 +75,7 @@
 
   /**
    * Returns the link to a target, connecting first if none is open; fails with {@code
-   * TARGET_UNREACHABLE} if the target is unknown.
+   * TARGET_UNREACHABLE} if the target is unknown or cannot be reached.
    */
   CompletableFuture<Link> linkTo(String target) {
     return link(target)
