--- a/entry/src/main/java/dev/ibishub/entry/CallerPages.java
+++ b/entry/src/main/java/dev/ibishub/entry/CallerEndpoints.java
@@ -36,11 +36,14 @@
 import java.util.regex.Pattern;
 import java.util.stream.Collectors;
 
-/** The pages for callers. Thread-safe. */
-final class CallerPages {
+/**
+ * HTTP endpoints for callers: completions, plain services, streams and the address list.
+ * Thread-safe.
+ */
+final class CallerEndpoints {
   private static final Pattern SERVICE_PATH = Pattern.compile("/services/([^/]+)(/.*)?");
   private static final String STREAM_PATH = "/v1/streams/";
-  private static final Set<String> KEPT_BY_ENTRY =
+  private static final Set<String> STRIPPED_REQUEST_HEADERS =
       Set.of(
           "authorization",
           "connection",
@@ -56,18 +59,18 @@
   private final EntrySettings settings;
   private final RequestContext context;
   private final CallerServer server;
-  private final Workspaces workspaces;
+  private final WorkspaceAuthenticator authenticator;
   private final Supplier<Configuration> configuration;
   private final Admission admission;
   private final AddressBook addresses;
   private final BooleanSupplier serving;
   private final EntryMetrics metrics;
 
-  CallerPages(
+  CallerEndpoints(
       EntrySettings settings,
       RequestContext context,
       CallerServer server,
-      Workspaces workspaces,
+      WorkspaceAuthenticator authenticator,
       Supplier<Configuration> configuration,
       Admission admission,
       AddressBook addresses,
@@ -76,7 +79,7 @@
     this.settings = settings;
     this.context = context;
     this.server = server;
-    this.workspaces = workspaces;
+    this.authenticator = authenticator;
     this.configuration = configuration;
     this.admission = admission;
     this.addresses = addresses;
@@ -84,12 +87,12 @@
     this.metrics = metrics;
   }
 
-  void addTo(CallerServer pages) {
-    pages.add("/v1/addresses", this::addresses);
-    pages.add("/v1/completions", (exchange, id) -> complete(exchange, id, false));
-    pages.add("/v1/chat/completions", (exchange, id) -> complete(exchange, id, true));
-    pages.add(STREAM_PATH, this::stream);
-    pages.add("/services/", this::callService);
+  void addTo(CallerServer callerServer) {
+    callerServer.add("/v1/addresses", this::addresses);
+    callerServer.add("/v1/completions", (exchange, id) -> complete(exchange, id, false));
+    callerServer.add("/v1/chat/completions", (exchange, id) -> complete(exchange, id, true));
+    callerServer.add(STREAM_PATH, this::stream);
+    callerServer.add("/services/", this::callService);
   }
 
   private void addresses(HttpExchange exchange, String requestId) throws IOException {
@@ -104,34 +107,34 @@
                     .put("url", address.url())
                     .put("zone", address.zone())
                     .put("validUntil", address.validUntil().toString()));
-    Http.sendJson(exchange, 200, answer);
+    HttpExchanges.sendJson(exchange, 200, answer);
   }
 
   private void complete(HttpExchange exchange, String requestId, boolean chat) throws IOException {
     requireMethod(exchange, "POST");
     requireServing();
-    var origin = origin(exchange, requestId);
-    byte[] body = Http.body(exchange, settings.maximumBodyBytes());
-    var read = ModelRequests.read(body, chat, origin, configuration.get());
-    ModelAnswer form = new ModelAnswer(requestId, read.model(), chat);
-    Answer answer =
-        read.streamed()
-            ? new StreamedAnswer(exchange, requestId, form, 0, context.clock())
-            : new WholeAnswer(exchange, requestId, form, context.clock());
-    runner(exchange, origin.workspace(), read.request(), answer).start();
+    var metadata = metadata(exchange, requestId);
+    byte[] body = HttpExchanges.readBody(exchange, settings.maximumBodyBytes());
+    var parsed = CompletionRequestParser.parse(body, chat, metadata, configuration.get());
+    CompletionFormat format = new CompletionFormat(requestId, parsed.model(), chat);
+    AnswerWriter answer =
+        parsed.streamed()
+            ? new StreamedAnswerWriter(exchange, requestId, format, 0, context.clock())
+            : new JsonAnswerWriter(exchange, requestId, format, context.clock());
+    admittedRunner(exchange, metadata.workspace(), parsed.request(), answer).start();
   }
 
   private void callService(HttpExchange exchange, String requestId) throws IOException {
     requireServing();
-    var origin = origin(exchange, requestId);
+    var metadata = metadata(exchange, requestId);
     Matcher path = SERVICE_PATH.matcher(exchange.getRequestURI().getRawPath());
     Service service = path.matches() ? configuration.get().services().get(path.group(1)) : null;
     if (service == null) {
       throw new ResultException(ResultCode.NOT_FOUND, "no such service at this site");
     }
-    byte[] body = Http.body(exchange, settings.maximumBodyBytes());
-    String rest = path.group(2) == null ? "/" : path.group(2);
-    boolean mayBeRepeated = service.mayBeRepeated(exchange.getRequestMethod(), rest);
+    byte[] body = HttpExchanges.readBody(exchange, settings.maximumBodyBytes());
+    String servicePath = path.group(2) == null ? "/" : path.group(2);
+    boolean mayBeRepeated = service.mayBeRepeated(exchange.getRequestMethod(), servicePath);
     String key = Optional.ofNullable(header(exchange, "Idempotency-Key")).orElse("");
     if (!mayBeRepeated && key.isEmpty()) {
       throw new ResultException(
@@ -143,94 +146,98 @@
         ServiceCall.newBuilder()
             .setService(service.name())
             .setMethod(exchange.getRequestMethod())
-            .setPathAndQuery(query == null ? rest : rest + "?" + query)
+            .setPathAndQuery(query == null ? servicePath : servicePath + "?" + query)
             .addAllHeaders(AnswerEnds.headersToWire(endToEndHeaders(exchange)))
             .setBody(ByteString.copyFrom(body))
             .setIdempotencyKey(mayBeRepeated ? "" : key)
             .setMayBeRepeated(mayBeRepeated)
             .build();
-    Dispatch dispatch = ModelRequests.dispatch(origin, 1).setServiceCall(call).build();
+    Dispatch dispatch = CompletionRequestParser.dispatch(metadata, 1).setServiceCall(call).build();
     CallerRequest request =
         new CallerRequest(
             requestId,
-            origin.workspace().name(),
+            metadata.workspace().name(),
             "service:" + service.name(),
             0,
             1,
-            origin.deadline(),
+            metadata.deadline(),
             mayBeRepeated ? Repeatability.MAY_BE_REPEATED : Repeatability.ONCE_BY_CLAIM,
             true,
             dispatch);
-    Answer answer = new ServiceAnswerWriter(exchange, requestId, context.clock());
-    runner(exchange, origin.workspace(), request, answer).start();
+    AnswerWriter answer = new ServiceAnswerWriter(exchange, requestId, context.clock());
+    admittedRunner(exchange, metadata.workspace(), request, answer).start();
   }
 
-  /** Joins ({@code GET}) or cancels ({@code DELETE}) a streamed answer. */
+  /** Resumes ({@code GET}) or cancels ({@code DELETE}) a streamed answer. */
   private void stream(HttpExchange exchange, String requestId) throws IOException {
-    var origin = origin(exchange, requestId);
+    var metadata = metadata(exchange, requestId);
     String name = exchange.getRequestURI().getPath().substring(STREAM_PATH.length());
     StreamName stream = StreamName.decode(name);
     switch (exchange.getRequestMethod()) {
-      case "GET" -> join(exchange, origin, stream);
-      case "DELETE" -> cancel(exchange, origin, stream);
+      case "GET" -> resume(exchange, metadata, stream);
+      case "DELETE" -> cancel(exchange, metadata, stream);
       default -> requireMethod(exchange, "GET or DELETE");
     }
   }
 
-  private void join(HttpExchange exchange, ModelRequests.Origin origin, StreamName stream) {
-    long from = firstWanted(exchange);
-    ModelAnswer form = new ModelAnswer(origin.requestId(), stream.model(), stream.chat());
-    Answer answer = new StreamedAnswer(exchange, origin.requestId(), form, from, context.clock());
+  private void resume(
+      HttpExchange exchange, CompletionRequestParser.RequestMetadata metadata, StreamName stream) {
+    long from = firstChunk(exchange);
+    CompletionFormat format =
+        new CompletionFormat(metadata.requestId(), stream.model(), stream.chat());
+    AnswerWriter answer =
+        new StreamedAnswerWriter(exchange, metadata.requestId(), format, from, context.clock());
     CallerRequest request =
         new CallerRequest(
-            origin.requestId(),
-            origin.workspace().name(),
+            metadata.requestId(),
+            metadata.workspace().name(),
             stream.model(),
             0,
             0,
-            origin.deadline(),
+            metadata.deadline(),
             Repeatability.ONCE,
             false,
             Dispatch.getDefaultInstance());
-    Runnable giveBack = server.takePlace(exchange);
+    Runnable releaseSlot = server.acquireSlot(exchange);
     RequestRunner runner =
-        new RequestRunner(context, request, answer, (code, tokens) -> giveBack.run());
+        new RequestRunner(context, request, answer, (code, tokens) -> releaseSlot.run());
     context
         .links()
         .linkTo(stream.target())
         .whenComplete(
             (link, failure) -> {
               if (failure == null) {
-                runner.join(link, stream);
+                runner.resume(link, stream);
               } else {
-                runner.cannotJoin();
+                runner.failResume();
               }
             });
   }
 
-  private void cancel(HttpExchange exchange, ModelRequests.Origin origin, StreamName stream)
+  private void cancel(
+      HttpExchange exchange, CompletionRequestParser.RequestMetadata metadata, StreamName stream)
       throws IOException {
     Frame cancel =
         Frame.newBuilder()
             .setCancel(
                 Cancel.newBuilder()
                     .setAttemptId(stream.attemptId())
-                    .setCallerWorkspace(origin.workspace().name()))
+                    .setCallerWorkspace(metadata.workspace().name()))
             .build();
     context.links().linkTo(stream.target()).thenAccept(link -> link.offer(cancel));
-    Http.sendJson(
+    HttpExchanges.sendJson(
         exchange,
         ResultCode.ACCEPTED.httpStatus(),
-        JsonNodeFactory.instance.objectNode().put("requestId", origin.requestId()));
+        JsonNodeFactory.instance.objectNode().put("requestId", metadata.requestId()));
   }
 
-  private RequestRunner runner(
-      HttpExchange exchange, Workspace workspace, CallerRequest request, Answer answer) {
-    Runnable giveBack = server.takePlace(exchange);
+  private RequestRunner admittedRunner(
+      HttpExchange exchange, Workspace workspace, CallerRequest request, AnswerWriter answer) {
+    Runnable releaseSlot = server.acquireSlot(exchange);
     Instant now = context.clock().instant();
     AdmissionDecision decision = admission.admit(query(workspace, request, now), now);
     if (!decision.admitted()) {
-      giveBack.run();
+      releaseSlot.run();
       metrics.refused(decision.code());
       throw new ResultException(decision.code(), "not admitted", decision.retryAt().orElse(null));
     }
@@ -240,7 +247,7 @@
         request,
         answer,
         (code, usedTokens) -> {
-          giveBack.run();
+          releaseSlot.run();
           Instant end = context.clock().instant();
           admission.finished(workspace.name(), request.estimatedTokens(), usedTokens, end);
           metrics.finished(code, now, end);
@@ -260,14 +267,16 @@
         workspace.priority(),
         request.estimatedTokens(),
         0,
-        context.router().estimatedStart(request.served(), now).orElse(now),
+        context.router().estimatedStart(request.servedName(), now).orElse(now),
         request.deadline());
   }
 
-  private ModelRequests.Origin origin(HttpExchange exchange, String requestId) {
-    Workspace workspace = workspaces.of(exchange.getRequestHeaders());
+  private CompletionRequestParser.RequestMetadata metadata(
+      HttpExchange exchange, String requestId) {
+    Workspace workspace = authenticator.authenticate(exchange.getRequestHeaders());
     boolean acceptsRestart = "accept".equals(header(exchange, "Ibishub-Restart"));
-    return new ModelRequests.Origin(requestId, workspace, deadline(exchange), acceptsRestart);
+    return new CompletionRequestParser.RequestMetadata(
+        requestId, workspace, deadline(exchange), acceptsRestart);
   }
 
   private Instant deadline(HttpExchange exchange) {
@@ -277,8 +286,8 @@
       return latest;
     }
     try {
-      Instant wanted = Instant.parse(given);
-      return wanted.isBefore(latest) ? wanted : latest;
+      Instant requested = Instant.parse(given);
+      return requested.isBefore(latest) ? requested : latest;
     } catch (DateTimeException e) {
       throw new ResultException(
           ResultCode.MALFORMED_REQUEST,
@@ -286,7 +295,7 @@
     }
   }
 
-  private static long firstWanted(HttpExchange exchange) {
+  private static long firstChunk(HttpExchange exchange) {
     String query = Optional.ofNullable(exchange.getRequestURI().getQuery()).orElse("from=0");
     Matcher from = Pattern.compile("from=([0-9]{1,18})").matcher(query);
     if (!from.matches()) {
@@ -307,13 +316,15 @@
 
   private static void requireMethod(HttpExchange exchange, String method) {
     if (!exchange.getRequestMethod().equals(method)) {
-      throw new ResultException(ResultCode.METHOD_NOT_ALLOWED, "only " + method + " here");
+      throw new ResultException(
+          ResultCode.METHOD_NOT_ALLOWED, "only " + method + " is allowed here");
     }
   }
 
   private static Map<String, List<String>> endToEndHeaders(HttpExchange exchange) {
     return exchange.getRequestHeaders().entrySet().stream()
-        .filter(header -> !KEPT_BY_ENTRY.contains(header.getKey().toLowerCase(Locale.ROOT)))
+        .filter(
+            header -> !STRIPPED_REQUEST_HEADERS.contains(header.getKey().toLowerCase(Locale.ROOT)))
         .collect(Collectors.toMap(Map.Entry::getKey, Map.Entry::getValue));
   }
 
--- a/entry/src/test/java/dev/ibishub/entry/RequestRunnerTest.java
+++ b/entry/src/test/java/dev/ibishub/entry/RequestRunnerTest.java
@@ -30,9 +30,9 @@
   private static final Instant DEADLINE = START.plusSeconds(60);
 
   private Instant now = START;
-  private final List<LaterTask> laterTasks = new ArrayList<>();
+  private final List<ScheduledTask> scheduledTasks = new ArrayList<>();
   private final List<ResultCode> finished = new ArrayList<>();
-  private final RecordedAnswer answer = new RecordedAnswer();
+  private final RecordingAnswerWriter answer = new RecordingAnswerWriter();
   private final Router router = Router.create(RouterOptions.defaults());
   private final TargetLinks links =
       new TargetLinks(
@@ -45,71 +45,71 @@
           router,
           RetryBudget.create(1, 10),
           () -> now,
-          (when, task) -> laterTasks.add(new LaterTask(when, task)),
+          (when, task) -> scheduledTasks.add(new ScheduledTask(when, task)),
           Runnable::run,
           new SplittableRandom(7));
 
   @Test
-  void answerGoesToTheCallerInOrderAndWhole() {
+  void chunksThatArriveOutOfOrderAreDeliveredInOrder() {
     FakeAgent agent = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
 
-    agent.chunk(agent.attempt(), 1, "two");
-    agent.chunk(agent.attempt(), 0, "one ");
-    agent.finish(agent.attempt(), 2, "one two");
+    agent.chunk(agent.latestAttemptId(), 1, "two");
+    agent.chunk(agent.latestAttemptId(), 0, "one ");
+    agent.finish(agent.latestAttemptId(), 2, "one two");
 
     assertThat(answer.events).containsExactly("0:one ", "1:two", "end 2");
     assertThat(finished).containsExactly(ResultCode.OK);
   }
 
   /**
-   * An etymology lookup vanishes. Its target dies before the first token; the entry must send the
-   * lookup to another target, and a chunk of the dead attempt that comes late must not show.
+   * Guards against a lost request when its target dies before the first token: the request moves to
+   * another target, and a late chunk of the lost attempt is dropped.
    */
   @Test
-  void requestWhoseTargetDiesBeforeTheFirstChunkGoesToAnother() {
+  void requestWhoseTargetDiesBeforeFirstChunkMovesToAnotherTarget() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
     FakeAgent second = agent("model-2", 1);
-    String lost = first.attempt();
+    String lost = first.latestAttemptId();
 
-    first.die();
+    first.disconnect();
     second.chunk(lost, 0, "stale");
-    second.chunk(second.attempt(), 0, "fresh");
-    second.finish(second.attempt(), 1, "fresh");
+    second.chunk(second.latestAttemptId(), 0, "fresh");
+    second.finish(second.latestAttemptId(), 1, "fresh");
 
     assertThat(answer.events).containsExactly("0:fresh", "end 1");
   }
 
   /**
-   * A caller gets the head of one answer and the tail of another. The target is replaced after half
-   * of a streamed answer; another target would write another text.
+   * Guards against splicing two answers: the target is replaced halfway through a streamed answer,
+   * and another target would generate different text.
    */
   @Test
-  void answerThatBrokeHalfwayIsNeverContinuedByAnotherTarget() {
+  void partialAnswerIsNeverContinuedByAnotherTarget() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
-    first.chunk(first.attempt(), 0, "half");
+    first.chunk(first.latestAttemptId(), 0, "half");
     FakeAgent second = agent("model-2", 1);
 
-    first.die();
+    first.disconnect();
     agent("model-1", 2);
-    passMillis(5_000);
+    advanceMillis(5_000);
 
     assertThat(second.dispatches()).isEmpty();
     assertThat(answer.events).containsExactly("0:half", "failed TARGET_LOST");
   }
 
   @Test
-  void answerWhoseLinkBrokeGoesOnFromTheSameRunOfTheAgent() {
+  void answerWhoseLinkBrokeResumesFromSameAgentIncarnation() {
     FakeAgent agent = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
-    String attempt = agent.attempt();
+    String attempt = agent.latestAttemptId();
     agent.chunk(attempt, 0, "half ");
 
-    agent.die();
+    agent.disconnect();
     FakeAgent again = agent("model-1", 1);
-    passMillis(200);
+    advanceMillis(200);
     assertThat(again.sent())
         .filteredOn(Frame::hasAttach)
         .extracting(frame -> frame.getAttach().getFromChunk())
@@ -121,98 +121,98 @@
   }
 
   @Test
-  void callerThatAcceptsARestartGetsTheWholeAnswerOfAnotherTarget() {
+  void callerThatAcceptsRestartGetsCompleteAnswerOfAnotherTarget() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, true);
-    first.chunk(first.attempt(), 0, "half");
+    first.chunk(first.latestAttemptId(), 0, "half");
     FakeAgent second = agent("model-2", 1);
 
-    first.die();
-    second.chunk(second.attempt(), 0, "all");
-    second.finish(second.attempt(), 1, "all");
+    first.disconnect();
+    second.chunk(second.latestAttemptId(), 0, "all");
+    second.finish(second.latestAttemptId(), 1, "all");
 
     assertThat(answer.events).containsExactly("0:half", "restart", "0:all", "end 1");
   }
 
   @Test
-  void workHandedBackByALeavingTargetGoesToAnother() {
+  void requestRefusedByLeavingTargetMovesToAnotherTarget() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.ONCE, false);
     FakeAgent second = agent("model-2", 1);
 
-    first.refuse(first.attempt(), ResultCode.TARGET_LEAVING);
+    first.refuse(first.latestAttemptId(), ResultCode.TARGET_LEAVING);
 
     assertThat(second.dispatches()).hasSize(1);
   }
 
   /**
-   * An incentive is posted twice. The target of a call that may not be repeated dies after the
-   * dispatch left; it may have run, so no second attempt may be made and the caller is told so.
+   * Guards against running a call twice that may not be repeated: its target dies after the
+   * dispatch was sent and may have run it, so no second attempt is made and the caller is told.
    */
   @Test
-  void unrepeatableRequestWithoutClaimIsNotSentAgainAfterALoss() {
+  void unrepeatableRequestWithoutClaimIsNotRetriedAfterTargetLoss() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.ONCE, false);
     FakeAgent second = agent("model-2", 1);
 
-    first.die();
+    first.disconnect();
 
     assertThat(second.dispatches()).isEmpty();
     assertThat(answer.failedWith).isEqualTo(ResultCode.TARGET_LOST);
   }
 
   /**
-   * A caller sends an incentive again with its key and is told "outcome unknown" although it ran
-   * and its answer is kept. Its second try went to another agent than the one that has the claim.
+   * Guards against a false "outcome unknown": the caller repeats a call with its idempotency key,
+   * and the repeat reaches another agent than the one that holds the claim and the answer.
    */
   @Test
-  void callClaimedBeforeIsAskedOfTheAgentThatHoldsTheClaim() {
+  void claimedCallIsRedirectedToAgentThatHoldsTheClaim() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.ONCE_BY_CLAIM, true);
     FakeAgent holder = agent("model-2", 9);
 
-    first.end(heldBy(first.attempt(), new ProcessIncarnation("model-2", 9)));
-    holder.finish(holder.attempt(), 0, "");
+    first.end(heldBy(first.latestAttemptId(), new ProcessIncarnation("model-2", 9)));
+    holder.finish(holder.latestAttemptId(), 0, "");
 
     assertThat(answer.events).containsExactly("end 0");
   }
 
   @Test
-  void callWhoseClaimHolderWasReplacedHasAnUnknownOutcome() {
+  void callWhoseClaimHolderWasReplacedFailsWithOutcomeUnknown() {
     FakeAgent first = agent("model-1", 1);
     start(Repeatability.ONCE_BY_CLAIM, true);
     FakeAgent replaced = agent("model-2", 10);
 
-    first.end(heldBy(first.attempt(), new ProcessIncarnation("model-2", 9)));
+    first.end(heldBy(first.latestAttemptId(), new ProcessIncarnation("model-2", 9)));
 
     assertThat(replaced.dispatches()).isEmpty();
     assertThat(answer.failedWith).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
   }
 
   @Test
-  void requestGivenUpAtItsDeadlineGetsItsFinalAnswerAtOnce() {
+  void requestPastItsDeadlineFailsAtOnce() {
     agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
 
-    passMillis(61_000);
+    advanceMillis(61_000);
 
     assertThat(answer.failedWith).isEqualTo(ResultCode.DEADLINE_PASSED_RUNNING);
   }
 
   @Test
-  void requestWithoutATargetIsRefusedAsNotRun() {
+  void requestWithoutTargetFailsWithNoTarget() {
     start(Repeatability.MAY_BE_REPEATED, false);
 
     assertThat(answer.failedWith).isEqualTo(ResultCode.NO_TARGET);
   }
 
   @Test
-  void damagedAnswerIsNeverGivenAsWhole() {
+  void answerWithWrongChecksumFailsAsCorrupted() {
     FakeAgent agent = agent("model-1", 1);
     start(Repeatability.MAY_BE_REPEATED, false);
-    agent.chunk(agent.attempt(), 0, "one");
+    agent.chunk(agent.latestAttemptId(), 0, "one");
 
-    agent.finish(agent.attempt(), 1, "other");
+    agent.finish(agent.latestAttemptId(), 1, "other");
 
     assertThat(answer.events).containsExactly("0:one", "failed ANSWER_CORRUPTED");
   }
@@ -236,14 +236,15 @@
     new RequestRunner(context, request, answer, (code, tokens) -> finished.add(code)).start();
   }
 
-  private record LaterTask(Instant when, Runnable task) {}
+  private record ScheduledTask(Instant when, Runnable task) {}
 
-  /** Lets time pass and runs what is due. */
-  private void passMillis(long millis) {
+  /** Advances the clock and runs the tasks that are due. */
+  private void advanceMillis(long millis) {
     now = now.plusMillis(millis);
-    List<LaterTask> due = laterTasks.stream().filter(later -> !later.when().isAfter(now)).toList();
-    laterTasks.removeAll(due);
-    due.forEach(later -> later.task().run());
+    List<ScheduledTask> due =
+        scheduledTasks.stream().filter(scheduled -> !scheduled.when().isAfter(now)).toList();
+    scheduledTasks.removeAll(due);
+    due.forEach(scheduled -> scheduled.task().run());
   }
 
   private static End heldBy(String attemptId, ProcessIncarnation holder) {
