--- a/entry/src/main/java/dev/ibishub/entry/CallerEndpoints.java
+++ b/entry/src/main/java/dev/ibishub/entry/CallerEndpoints.java
@@ -316,8 +316,7 @@
 
   private static void requireMethod(HttpExchange exchange, String method) {
     if (!exchange.getRequestMethod().equals(method)) {
-      throw new ResultException(
-          ResultCode.METHOD_NOT_ALLOWED, "only " + method + " is allowed here");
+      throw new ResultException(ResultCode.METHOD_NOT_ALLOWED, "only " + method + " here");
     }
   }
 
--- a/entry/src/main/java/dev/ibishub/entry/CallerServer.java
+++ b/entry/src/main/java/dev/ibishub/entry/CallerServer.java
@@ -79,8 +79,8 @@
       throw new ResultException(
           ResultCode.OVERLOADED,
           entryAtLimit
-              ? "this entry has its maximum number of requests in flight"
-              : "too many requests in flight from this caller",
+              ? "this entry has its most requests in flight"
+              : "too many requests of this caller",
           clock.instant().plusSeconds(1));
     }
     return releaseSlot;
--- a/entry/src/main/java/dev/ibishub/entry/HttpExchanges.java
+++ b/entry/src/main/java/dev/ibishub/entry/HttpExchanges.java
@@ -63,12 +63,12 @@
     } catch (JsonProcessingException e) {
       throw new ResultException(
           ResultCode.MALFORMED_REQUEST,
-          "the body is not valid JSON at line "
+          "the body is no JSON at line "
               + e.getLocation().getLineNr()
               + ", column "
               + e.getLocation().getColumnNr());
     }
-    throw new ResultException(ResultCode.MALFORMED_REQUEST, "the body is not a JSON object");
+    throw new ResultException(ResultCode.MALFORMED_REQUEST, "the body is no JSON object");
   }
 
   /** Returns the bearer token, or empty if the request has none. */
--- a/entry/src/main/java/dev/ibishub/entry/RequestRunner.java
+++ b/entry/src/main/java/dev/ibishub/entry/RequestRunner.java
@@ -258,7 +258,7 @@
       return;
     }
     excludedTargets.add(target);
-    retry(last == null ? "the answer was corrupted" : last.detail(), isExemptFromRetryBudget(code));
+    retry(last == null ? "the answer came damaged" : last.detail(), isExemptFromRetryBudget(code));
   }
 
   /**
--- a/entry/src/main/java/dev/ibishub/entry/StreamName.java
+++ b/entry/src/main/java/dev/ibishub/entry/StreamName.java
@@ -45,6 +45,6 @@
 
   private static ResultException malformed() {
     return new ResultException(
-        ResultCode.MALFORMED_REQUEST, "not a stream name from the header Ibishub-Stream");
+        ResultCode.MALFORMED_REQUEST, "no name that an entry gave in Ibishub-Stream");
   }
 }
