--- a/gateway/src/main/java/dev/ibishub/gateway/model/CallerLimits.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/model/CallerLimits.java
@@ -1,18 +1,18 @@
 package dev.ibishub.gateway.model;
 
 /**
- * What a caller may send.
+ * Limits for callers' requests and connections.
  *
- * @param maximumHeaderBytes most bytes of a request's line and headers
- * @param maximumBodyBytes most bytes of a request's body
- * @param headerTimeoutMillis the longest that a request's headers may take, milliseconds
- * @param idleTimeoutMillis the longest that a connection may stay idle, milliseconds
+ * @param maximumHeaderBytes maximum size of the request line and headers, bytes
+ * @param maximumBodyBytes maximum size of a request body, bytes
+ * @param headerTimeoutMillis time within which a request's headers have to arrive, milliseconds
+ * @param idleTimeoutMillis time after which an idle connection is closed, milliseconds
  */
 public record CallerLimits(
     int maximumHeaderBytes,
     int maximumBodyBytes,
     long headerTimeoutMillis,
     long idleTimeoutMillis) {
-  /** What holds until a configuration is known. */
+  /** Limits that apply until a configuration is known. */
   public static final CallerLimits DEFAULTS = new CallerLimits(16_384, 4 << 20, 3_000, 15_000);
 }
--- a/gateway/src/main/java/dev/ibishub/gateway/model/Route.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/model/Route.java
@@ -5,21 +5,20 @@
 import java.util.Objects;
 
 /**
- * Which requests go to which service, and how.
+ * A rule that assigns requests to services and says how they are handled.
  *
- * @param name the route's name
- * @param host the host that requests name
- * @param pathPrefix what their path begins with
- * @param kind what may be done with a request that failed
- * @param timeoutMillis the longest that a caller is kept waiting, milliseconds
- * @param aimMillis the time within which the first piece of an answer is wanted, milliseconds; 0
- *     for none
- * @param longestPauseMillis the longest pause between two pieces of a stream that is wanted,
+ * @param name name of the route
+ * @param host host name to which its requests are addressed
+ * @param pathPrefix prefix of their paths
+ * @param kind how a failed request may be retried
+ * @param timeoutMillis maximum time that a caller is kept waiting, milliseconds
+ * @param aimMillis latency objective for the first piece of an answer, milliseconds; 0 for none
+ * @param longestPauseMillis objective for the longest pause between two pieces of a stream,
  *     milliseconds; 0 for none
- * @param priority rank of its requests, 0 first
- * @param destinations the services that share the requests, by weight; not empty
- * @param maximumRuns the most targets at which one request may run
- * @param needsKey whether a caller has to show a workspace's key
+ * @param priority priority of its requests, 0 being the highest
+ * @param destinations services among which the requests are split by weight; not empty
+ * @param maximumRuns maximum number of targets that may run one request
+ * @param needsKey whether callers have to present a workspace's key
  */
 public record Route(
     String name,
@@ -35,14 +34,14 @@
     boolean needsKey) {
 
   /**
-   * One service of a route.
+   * A service that gets a share of a route's requests.
    *
-   * @param service the service's name
-   * @param weight its share of the requests against the other destinations' weights
+   * @param service name of the service
+   * @param weight its share of the requests relative to the route's other destinations
    */
   public record Destination(String service, double weight) {}
 
-  /** Checks the parts that decisions rely on. */
+  /** Checks the host, path prefix and destinations, which routing relies on. */
   public Route {
     Objects.requireNonNull(host);
     Objects.requireNonNull(pathPrefix);
@@ -53,15 +52,16 @@
   }
 
   /**
-   * Chooses the service of one request.
+   * Chooses the service for a request by weight.
    *
-   * @param point a number from 0 to below 1, drawn evenly
+   * @param point uniformly random number in [0, 1)
+   * @return the name of the chosen service
    */
   public String destination(double point) {
-    double rest = point * destinations.stream().mapToDouble(Destination::weight).sum();
+    double remainingWeight = point * destinations.stream().mapToDouble(Destination::weight).sum();
     for (Destination destination : destinations) {
-      rest -= destination.weight();
-      if (rest < 0) {
+      remainingWeight -= destination.weight();
+      if (remainingWeight < 0) {
         return destination.service();
       }
     }
--- a/gateway/src/main/java/dev/ibishub/gateway/model/Service.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/model/Service.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 
 /**
- * A service that routes lead to.
+ * A service to which routes send requests.
  *
- * @param name its name
- * @param engine the figures of its engines, where it has any
+ * @param name name of the service
+ * @param engine profile of its model engines; empty for a service without engines
  */
 public record Service(String name, Optional<EngineProfile> engine) {}
--- a/gateway/src/main/java/dev/ibishub/gateway/model/ServingConfiguration.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/model/ServingConfiguration.java
@@ -7,14 +7,15 @@
 import java.util.stream.Collectors;
 
 /**
- * One version of what the operators publish.
+ * One version of the configuration that the operators publish. Used on the users' platform; behind
+ * ibishub's own interface, {@code dev.ibishub.core.Configuration} takes this role.
  *
- * @param version its number; later versions have higher ones
- * @param routesByHost the routes of each host, longest prefix first
+ * @param version version number; later versions have higher numbers
+ * @param routesByHost the routes of each host, longest path prefix first
  * @param services the services by name
- * @param workspacesByKey the workspace that each key belongs to; empty where no keys are used
- * @param usesKeys whether callers have to show keys
- * @param limits what a caller may send
+ * @param workspacesByKey the workspace of each key; empty if no keys are used
+ * @param usesKeys whether callers have to present keys
+ * @param limits limits for callers' requests and connections
  */
 public record ServingConfiguration(
     long version,
@@ -25,9 +26,9 @@
     CallerLimits limits) {
 
   /**
-   * Creates a configuration of its parts.
+   * Creates a configuration and indexes its routes by host.
    *
-   * @param routes the routes in any order
+   * @param routes all routes, in any order
    */
   public static ServingConfiguration of(
       long version,
@@ -44,14 +45,14 @@
         version, byHost, Map.copyOf(services), Map.copyOf(workspacesByKey), usesKeys, limits);
   }
 
-  /** Finds the route of a request: the longest prefix of the host that begins the path. */
+  /** Finds the route for a request: the one of its host with the longest matching path prefix. */
   public Optional<Route> route(String host, String path) {
     return routesByHost.getOrDefault(host, List.of()).stream()
         .filter(route -> path.startsWith(route.pathPrefix()))
         .findFirst();
   }
 
-  /** Finds the workspace that a key belongs to. */
+  /** Finds the workspace of a key. */
   public Optional<Workspace> workspace(String key) {
     return Optional.ofNullable(workspacesByKey.get(key));
   }
--- a/gateway/src/main/java/dev/ibishub/gateway/model/Target.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/model/Target.java
@@ -3,17 +3,17 @@
 import java.util.Objects;
 
 /**
- * One target as it announces itself.
+ * A target as announced by its record in the platform's store.
  *
- * @param id its id; not used again, but by the same target after a restart
- * @param service the service that it belongs to
- * @param host its IP number
+ * @param id unique id; reused only by the same target after a restart
+ * @param service name of the service that it belongs to
+ * @param host its IP address
  * @param port the port for requests
  * @param zone its failure domain
- * @param slots requests that it runs at once, 0 where it doesn't say
- * @param leaving whether it takes no new requests
- * @param startedAtMillis when it started, milliseconds since the epoch; 0 where it doesn't say. A
- *     later start under the same id has lost all that the earlier one knew
+ * @param slots number of requests that it runs concurrently; 0 if not announced
+ * @param leaving whether it is draining and takes no new requests
+ * @param startedAtMillis start time, milliseconds since the epoch; 0 if not announced. A restart
+ *     under the same id loses all state of the earlier process
  */
 public record Target(
     String id,
@@ -24,7 +24,7 @@
     int slots,
     boolean leaving,
     long startedAtMillis) {
-  /** Checks that the target can be reached by what it says. */
+  /** Checks that the id, service and address are present and the port is valid. */
   public Target {
     Objects.requireNonNull(id);
     Objects.requireNonNull(service);
@@ -34,13 +34,13 @@
     }
   }
 
-  /** Returns a name of this life of the target, which none of its other lives has. */
+  /** Returns an identifier of this incarnation: it changes when the target restarts. */
   public String life() {
     return id + "@" + startedAtMillis;
   }
 
-  // Written out, as a record's own methods are linked at their first call, which is slow in a
-  // process that starts.
+  // equals and hashCode are written out because a record's generated methods are linked at their
+  // first call, which is slow in a process that has just started.
 
   @Override
   public boolean equals(Object other) {
--- a/gateway/src/main/java/dev/ibishub/gateway/model/Workspace.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/model/Workspace.java
@@ -3,9 +3,9 @@
 import java.util.OptionalInt;
 
 /**
- * A customer.
+ * A customer, whose callers authenticate with the workspace's keys.
  *
- * @param name its name
- * @param priority rank of its requests, 0 first, which goes before the route's where it is given
+ * @param name name of the workspace
+ * @param priority priority of its requests, 0 being the highest; overrides the route's if present
  */
 public record Workspace(String name, OptionalInt priority) {}
--- a/gateway/src/main/java/dev/ibishub/gateway/model/package-info.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/model/package-info.java
@@ -1,2 +1,4 @@
-/** What the product knows of routes, workspaces, services and targets. All types are immutable. */
+/**
+ * Immutable model of routes, workspaces, services and targets, for running on the users' platform.
+ */
 package dev.ibishub.gateway.model;
