--- a/gateway/src/main/java/dev/ibishub/gateway/model/EngineProfile.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/model/EngineProfile.java
@@ -1,144 +1,162 @@
 package dev.ibishub.gateway.model;
 
 /**
- * What the operators state of a service's model engines.
+ * Capacity and timing of a service's model engines, as stated by the operators.
  *
- * @param slots requests that an engine runs at once
- * @param stepMillis time of one step without requests, milliseconds
- * @param requestMillis what each running request adds to a step, milliseconds
- * @param stepsPerPass steps of a pass that writes
- * @param usualAnswerTokens mean length of an answer
- * @param usualPromptTokens mean length of a prompt
- * @param readTokensPerMilli prompt tokens that are read in a millisecond; 0 where it isn't said
- * @param layers sets of layers that have experts of their own; 0 for engines without experts
- * @param experts experts in each set
- * @param placesPerRank the most experts of a set that a rank holds
- * @param newPerSet the most experts of a set that a rank may fetch for one map
- * @param expertMegabytes size of an expert
- * @param linkMegabits speed at which experts are fetched, megabits a second
- * @param expertShare part of the work for tokens that experts do, 0 to 1
- * @param formMillis how long a group takes to open once all its ranks are there, milliseconds
+ * @param slots number of requests that an engine runs concurrently
+ * @param baseStepMillis duration of a step without requests, milliseconds
+ * @param stepMillisPerRequest time that each running request adds to a step, milliseconds
+ * @param stepsPerPass number of steps in a decode pass
+ * @param meanAnswerTokens mean length of an answer, tokens
+ * @param meanPromptTokens mean length of a prompt, tokens
+ * @param prefillTokensPerMilli prefill rate, prompt tokens per millisecond; 0 if not stated
+ * @param layers number of layer sets with experts of their own; 0 for engines without experts
+ * @param experts number of experts in each layer set
+ * @param placesPerRank maximum number of experts of a layer set that a rank holds
+ * @param newPerSet maximum number of experts of a layer set that a rank may fetch for one new map
+ * @param expertMegabytes size of an expert, megabytes
+ * @param linkMegabitsPerSecond bandwidth for fetching experts, megabits per second
+ * @param expertShare fraction of the per-token work that experts do, 0 to 1
+ * @param formationMillis time that a group takes to open once all its ranks are present,
+ *     milliseconds
  */
 public record EngineProfile(
     int slots,
-    double stepMillis,
-    double requestMillis,
+    double baseStepMillis,
+    double stepMillisPerRequest,
     int stepsPerPass,
-    int usualAnswerTokens,
-    int usualPromptTokens,
-    double readTokensPerMilli,
+    int meanAnswerTokens,
+    int meanPromptTokens,
+    double prefillTokensPerMilli,
     int layers,
     int experts,
     int placesPerRank,
     int newPerSet,
     double expertMegabytes,
-    double linkMegabits,
+    double linkMegabitsPerSecond,
     double expertShare,
-    long formMillis) {
+    long formationMillis) {
 
   private static final double BITS_PER_BYTE = 8;
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** Skew of a map that is as even as maps become with few places a rank. */
-  private static final double EVEN_SKEW = 1.2;
+  /** Skew of the best-balanced map that is possible when each rank holds few experts. */
+  private static final double BALANCED_SKEW = 1.2;
 
   /**
-   * Callers leave a stream without a first piece after the longer of this and some aims. Millis.
+   * Shortest time after which callers abandon a stream that has not begun, milliseconds. With a
+   * latency objective, they wait for {@link #PATIENCE_FACTOR} times the objective if that is
+   * longer.
    */
-  private static final double LEAST_PATIENCE_MILLIS = 2_000;
+  private static final double MINIMUM_PATIENCE_MILLIS = 2_000;
 
-  private static final double PATIENCE_AIMS = 4;
+  private static final double PATIENCE_FACTOR = 4;
 
-  /** How far from even a map may become, as a part of the way to where passes are too long. */
-  private static final double START_PART = 1.0 / 3;
+  /**
+   * Position of the threshold for a new map, as a fraction of the way from an even load to the skew
+   * at which a full pass takes as long as the pause objective.
+   */
+  private static final double START_FRACTION = 1.0 / 3;
 
-  /** Skew from which a map is made where the engines' times are not stated. */
-  private static final double UNSTATED_START_SKEW = 1.6;
+  /** Skew threshold for a new map if the engines' timing is not stated. */
+  private static final double DEFAULT_START_SKEW = 1.6;
 
-  /** Highest skew that is left alone: the group then carries half of what it could. */
-  private static final double LATEST_START_SKEW = 2;
+  /**
+   * Upper bound of the skew threshold: at this skew a group has half of its possible throughput.
+   */
+  private static final double MAXIMUM_START_SKEW = 2;
 
-  /** How much longer than stated a group that forms is waited for. */
-  private static final double FORMING_TOLERANCE = 1.5;
+  /** Multiple of the stated time to open for which a group that forms is waited for. */
+  private static final double FORMATION_TIMEOUT_FACTOR = 1.5;
 
-  /** Whether the engines form groups that share experts. */
+  /** Whether the engines form expert-parallel groups. */
   public boolean hasExperts() {
     return layers > 0 && experts > 0;
   }
 
-  /** Returns how long a rank takes to fetch one expert, milliseconds. */
+  /** Returns the time that a rank takes to fetch one expert, milliseconds; 0 if not stated. */
   public double fetchMillis() {
-    return linkMegabits <= 0
+    return linkMegabitsPerSecond <= 0
         ? 0
-        : expertMegabytes * BITS_PER_BYTE / linkMegabits * MILLIS_PER_SECOND;
+        : expertMegabytes * BITS_PER_BYTE / linkMegabitsPerSecond * MILLIS_PER_SECOND;
   }
 
   /**
-   * Returns how long a pass takes with all slots taken and one usual prompt to read, milliseconds.
+   * Returns the duration of a full pass, milliseconds: all slots in use and one prompt of mean
+   * length to prefill.
    *
-   * @param skew how many times the mean the most loaded ranks have to do for tokens
+   * @param skew per-token work of the most loaded ranks, as a multiple of the mean
    */
   public double passMillis(double skew) {
-    return stepsPerPass * stepMillis + tokenMillis() * (1 - expertShare + expertShare * skew);
+    return stepsPerPass * baseStepMillis
+        + tokenMillisPerPass() * (1 - expertShare + expertShare * skew);
   }
 
   /**
-   * Returns how long a full pass takes at a skew against one at another, for which only the ratio
-   * of two results counts. Where the engines' times are not stated, passes are taken to be as long
-   * as the most loaded ranks are busy with tokens.
+   * Returns the relative duration of a full pass. Only the ratio of two results is meaningful. If
+   * the engines' timing is not stated, the duration is taken to be proportional to the skew.
+   *
+   * @param skew per-token work of the most loaded ranks, as a multiple of the mean
    */
   public double passLength(double skew) {
-    return statesTimes() ? passMillis(skew) : skew;
+    return hasTiming() ? passMillis(skew) : skew;
   }
 
   /**
-   * Returns the skew from which a new map is worth its copies: a third of the way from even to
-   * where a full pass takes as long as the longest pause wanted. At 120 ms and the engines of today
-   * that is 1.6; the demand of one window differs by 1.25 from the next by chance.
+   * Returns the skew from which a new map is worth the cost of copying experts: a third of the way
+   * from an even load (skew 1) to the skew at which a full pass takes as long as the pause
+   * objective. For an objective of 120 ms and current engines this is 1.6, well above the factor of
+   * 1.25 by which demand differs at random between consecutive windows.
    *
-   * @param longestPauseMillis the longest pause wanted between two pieces of a stream
+   * @param longestPauseMillis objective for the longest pause between two pieces of a stream,
+   *     milliseconds
    */
   public double startSkew(long longestPauseMillis) {
-    if (!statesTimes()) {
-      return UNSTATED_START_SKEW;
+    if (!hasTiming()) {
+      return DEFAULT_START_SKEW;
     }
-    double rest = (longestPauseMillis - stepsPerPass * stepMillis) / tokenMillis();
-    double latest = 1 + (rest - 1) / expertShare;
-    return Math.min(LATEST_START_SKEW, Math.max(EVEN_SKEW, 1 + START_PART * (latest - 1)));
+    double tokenTimeRatio =
+        (longestPauseMillis - stepsPerPass * baseStepMillis) / tokenMillisPerPass();
+    double skewAtObjective = 1 + (tokenTimeRatio - 1) / expertShare;
+    return Math.min(
+        MAXIMUM_START_SKEW, Math.max(BALANCED_SKEW, 1 + START_FRACTION * (skewAtObjective - 1)));
   }
 
-  /** Returns how long it takes until one of a full engine's slots comes free, milliseconds. */
+  /** Returns the mean time until a slot of a full engine becomes free, milliseconds. */
   public double slotFreesMillis() {
-    double step = passMillis(EVEN_SKEW) / stepsPerPass;
-    return usualAnswerTokens * step / Math.max(1, slots);
+    double stepMillis = passMillis(BALANCED_SKEW) / stepsPerPass;
+    return meanAnswerTokens * stepMillis / Math.max(1, slots);
   }
 
   /**
-   * Returns how many requests may wait at an engine beyond its slots: so many that the last of them
-   * gets its first piece in half of the time that callers wait for one. It is late then, which is
-   * worth half of an answer in time; a caller who is refused comes back once, is late as well, and
-   * may be refused again. At least 1, as slots would stand empty between two reports.
+   * Returns the maximum queue length of an engine, besides the requests in its slots. The last
+   * request in the queue still gets its first piece in half of the time that callers wait for one.
+   * Such an answer is late and worth half of one in time, but refusing is worse: a refused caller
+   * retries once, is late as well, and may be refused again. The result is at least 1, since slots
+   * would otherwise stay empty between two load reports.
    *
-   * @param aimMillis the time within which a first piece is wanted, milliseconds; 0 for none
+   * @param aimMillis latency objective for the first piece, milliseconds; 0 for none
    */
   public int waitingPlaces(long aimMillis) {
-    double patience = Math.max(LEAST_PATIENCE_MILLIS, aimMillis * PATIENCE_AIMS);
-    double rest = patience / 2 - passMillis(EVEN_SKEW);
-    return Math.max(1, (int) (rest / Math.max(1, slotFreesMillis())));
+    double patienceMillis = Math.max(MINIMUM_PATIENCE_MILLIS, aimMillis * PATIENCE_FACTOR);
+    double queueMillis = patienceMillis / 2 - passMillis(BALANCED_SKEW);
+    return Math.max(1, (int) (queueMillis / Math.max(1, slotFreesMillis())));
   }
 
-  /** Returns how long a group of which all ranks are there may take to open, milliseconds. */
+  /** Returns how long to wait for a group to open once all its ranks are present, milliseconds. */
   public long formingMillis() {
-    return (long) (FORMING_TOLERANCE * formMillis);
+    return (long) (FORMATION_TIMEOUT_FACTOR * formationMillis);
   }
 
-  /** Whether the engines' figures tell how long passes become with the skew. */
-  private boolean statesTimes() {
-    return tokenMillis() > 0 && expertShare > 0;
+  /** Whether the stated timing is sufficient to derive the duration of a pass from the skew. */
+  private boolean hasTiming() {
+    return tokenMillisPerPass() > 0 && expertShare > 0;
   }
 
-  private double tokenMillis() {
-    double read = readTokensPerMilli <= 0 ? 0 : usualPromptTokens / readTokensPerMilli;
-    return stepsPerPass * requestMillis * slots + read;
+  /** Returns the time that a full pass spends on tokens without skew, milliseconds. */
+  private double tokenMillisPerPass() {
+    double prefillMillis =
+        prefillTokensPerMilli <= 0 ? 0 : meanPromptTokens / prefillTokensPerMilli;
+    return stepsPerPass * stepMillisPerRequest * slots + prefillMillis;
   }
 }
