--- a/gateway/src/main/java/dev/ibishub/gateway/records/KeyedLog.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/records/KeyedLog.java
@@ -4,35 +4,37 @@
 
 /**
  * A log of the platform that keeps the newest record of each key. Implementations are thread-safe
- * and repeat no call by themselves; every call costs.
+ * and don't retry, since every call is charged for.
  */
 public interface KeyedLog {
   /**
    * Reads the newest record of every key.
    *
-   * @param topic the log's name
+   * @param topic name of the log
    */
   CompletableFuture<RecordBatch> newest(String topic);
 
   /**
    * Reads records in order.
    *
-   * @param topic the log's name
-   * @param from the first offset wanted
-   * @param waitMillis how long to wait for a first record where there is none yet, milliseconds
-   * @return the records, perhaps none; fails with {@link HistoryLostException} when {@code from} is
-   *     no longer kept
+   * @param topic name of the log
+   * @param from offset of the first record to read
+   * @param waitMillis long-poll timeout if there is no record yet, milliseconds; 0 to return at
+   *     once
+   * @return the records, possibly none; completes exceptionally with {@link HistoryLostException}
+   *     if {@code from} is no longer retained
    */
   CompletableFuture<RecordBatch> read(String topic, long from, long waitMillis);
 
   /**
    * Appends a record.
    *
-   * @return done when it is kept; when this fails the record may have been kept all the same
+   * @return completes once the record is stored; the record may have been stored even if this
+   *     completes exceptionally
    */
   CompletableFuture<Void> append(String topic, String key, byte[] value);
 
-  /** The records from the offset that was asked for are no longer kept. */
+  /** Thrown when records from the requested offset on are no longer retained. */
   final class HistoryLostException extends Exception {
     private static final long serialVersionUID = 1;
 
--- a/gateway/src/main/java/dev/ibishub/gateway/records/KeyedRecord.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/records/KeyedRecord.java
@@ -6,12 +6,12 @@
 /**
  * A record of a keyed log.
  *
- * @param offset its place in the log
- * @param key what it says something about
- * @param value what it says; empty when the key was dropped
+ * @param offset its position in the log
+ * @param key identifier of the item that it describes
+ * @param value state of the item; empty for a tombstone, which deletes the key
  */
 public record KeyedRecord(long offset, String key, Optional<byte[]> value) {
-  /** Checks that the parts are there. */
+  /** Checks that the key and value aren't null. */
   public KeyedRecord {
     Objects.requireNonNull(key);
     Objects.requireNonNull(value);
--- a/gateway/src/main/java/dev/ibishub/gateway/records/RecordBatch.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/records/RecordBatch.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What a read of a keyed log returned.
+ * The result of a read of a keyed log: either a range of records or a snapshot.
  *
- * @param from the offset that the read began at; 0 for the newest record of every key
- * @param end the offset after the last record that the batch accounts for
- * @param isWhole whether this is the newest record of every key, so that other keys don't exist
+ * @param from offset at which the read began; 0 for a snapshot
+ * @param end exclusive end offset of the records that the batch covers
+ * @param isWhole whether this is a snapshot, that is, the newest record of every key that exists
  * @param records the records in the order of their offsets
  */
 public record RecordBatch(long from, long end, boolean isWhole, List<KeyedRecord> records) {
-  /** Copies the records. */
+  /** Makes an immutable copy of the records. */
   public RecordBatch {
     records = List.copyOf(records);
   }
--- a/gateway/src/main/java/dev/ibishub/gateway/records/package-info.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/records/package-info.java
@@ -1,2 +1,4 @@
-/** Follows the platform's keyed records, alone or by what other entries have read. */
+/**
+ * Follows the keyed logs of the users' platform, by reading them and by batches from other entries.
+ */
 package dev.ibishub.gateway.records;
