--- a/gateway/src/main/java/dev/ibishub/gateway/records/RecordMessages.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/records/RecordMessages.java
@@ -13,22 +13,23 @@
 import java.util.zip.DeflaterOutputStream;
 import java.util.zip.InflaterInputStream;
 
-/** Batches of records as messages between entries. */
+/** Conversion between batches of records and the messages that carry them between entries. */
 public final class RecordMessages {
   /**
-   * Messages of more bytes go deflated. A configuration of a thousand routes has 300 KB, and the
-   * entry that read it sends it to all others over a link of a few MB a second.
+   * Size above which messages are compressed, bytes. A configuration of a thousand routes has 300
+   * KB, and the entry that read it sends it to all others over a link of a few MB per second.
    */
-  private static final int LARGE_BYTES = 1_024;
+  private static final int COMPRESSION_THRESHOLD_BYTES = 1_024;
 
   /**
-   * More than the store hands out at once, so that no peer can make this process fill its memory.
+   * Maximum size of a message after decompression, bytes. It is larger than any response of the
+   * store and keeps a peer from exhausting this process's memory.
    */
-  private static final int MAXIMUM_BYTES = 16 << 20;
+  private static final int MAXIMUM_INFLATED_BYTES = 16 << 20;
 
   private RecordMessages() {}
 
-  /** Makes the message that tells another entry of a batch. */
+  /** Returns the message that passes a batch on to other entries, compressed if it is large. */
   public static Frame frame(String topic, RecordBatch batch) {
     RecordProgress.Builder progress =
         RecordProgress.newBuilder()
@@ -41,7 +42,7 @@
   }
 
   private static RecordProgress deflatedIfLarge(RecordProgress progress) {
-    if (progress.getSerializedSize() <= LARGE_BYTES) {
+    if (progress.getSerializedSize() <= COMPRESSION_THRESHOLD_BYTES) {
       return progress;
     }
     Deflater deflater = new Deflater(Deflater.BEST_SPEED);
@@ -57,21 +58,21 @@
   }
 
   /**
-   * Returns a message with all its fields, whether it came deflated or not.
+   * Returns the uncompressed form of a message, which is the message itself if it isn't compressed.
    *
-   * @throws IOException when it can't be read
+   * @throws IOException if the content can't be decompressed or parsed
    */
   public static RecordProgress inflated(RecordProgress progress) throws IOException {
     if (progress.getDeflated().isEmpty()) {
       return progress;
     }
     try (InputStream input = new InflaterInputStream(progress.getDeflated().newInput())) {
-      byte[] message = input.readNBytes(MAXIMUM_BYTES);
+      byte[] message = input.readNBytes(MAXIMUM_INFLATED_BYTES);
       return RecordProgress.parseFrom(message);
     }
   }
 
-  /** Reads a message back that is {@link #inflated}. */
+  /** Returns the batch in a message that is {@link #inflated}. */
   public static RecordBatch batch(RecordProgress progress) {
     return new RecordBatch(
         progress.getFrom(),
--- a/gateway/src/test/java/dev/ibishub/gateway/records/RecordMessagesTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/records/RecordMessagesTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void largeBatchGoesSmallAndComesBackWhole() throws IOException {
+  void largeBatchIsCompressedAndRestoredUnchanged() throws IOException {
     String large = ROUTE.repeat(1_000);
     RecordProgress sent = message(large);
     RecordProgress received = RecordMessages.inflated(sent);
@@ -36,14 +36,14 @@
   }
 
   @Test
-  void smallBatchGoesAsItIs() throws IOException {
+  void smallBatchIsNotCompressed() throws IOException {
     RecordProgress sent = message(ROUTE);
 
     assertThat(RecordMessages.inflated(sent)).isSameAs(sent);
   }
 
   @Test
-  void bytesThatAreNoMessageAreRefused() {
+  void rejectsContentThatCannotBeInflated() {
     RecordProgress spoiled =
         RecordProgress.newBuilder().setDeflated(ByteString.copyFromUtf8("spoiled")).build();
 
