--- a/node/src/main/java/dev/ibishub/node/ConfigurationState.java
+++ b/node/src/main/java/dev/ibishub/node/CurrentConfiguration.java
@@ -9,38 +9,45 @@
 import java.util.Optional;
 import java.util.concurrent.atomic.AtomicReference;
 
-/** The configuration in force: the highest version that could be read. Thread-safe. */
-final class ConfigurationState {
+/**
+ * The configuration in force: the highest version that could be decoded. Thread-safe. Used on the
+ * users' platform; behind ibishub's own interface, {@code dev.ibishub.core.ConfigurationReader}
+ * determines it.
+ */
+final class CurrentConfiguration {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private final AtomicReference<ServingConfiguration> inForce = new AtomicReference<>();
 
+  /** Returns the configuration in force; empty until the first one is known. */
   Optional<ServingConfiguration> get() {
     return Optional.ofNullable(inForce.get());
   }
 
-  /** Puts what the operator wrote in force, unless it is older than what is. */
+  /** Puts a record's configuration in force if its version is higher than the current one. */
   void onRecord(KeyedRecord record) {
     if (record.value().isEmpty()) {
       logger.atWarning().log("%s", LogEvent.of("configuration.dropped").with("key", record.key()));
       return;
     }
     try {
-      ServingConfiguration read = ConfigurationDecoder.decode(record.value().get());
-      ServingConfiguration now =
+      ServingConfiguration decoded = ConfigurationDecoder.decode(record.value().get());
+      ServingConfiguration effective =
           inForce.accumulateAndGet(
-              read,
+              decoded,
               (before, next) ->
                   before != null && before.version() >= next.version() ? before : next);
       logger.atInfo().log(
           "%s",
           LogEvent.of(
-                  now.version() == read.version() ? "configuration.applied" : "configuration.older")
-              .with("version", read.version())
-              .with("in_force", now.version())
+                  effective.version() == decoded.version()
+                      ? "configuration.applied"
+                      : "configuration.older")
+              .with("version", decoded.version())
+              .with("in_force", effective.version())
               .with("offset", record.offset())
-              .with("hosts", read.routesByHost().size())
-              .with("keys", read.workspacesByKey().size()));
+              .with("hosts", decoded.routesByHost().size())
+              .with("keys", decoded.workspacesByKey().size()));
     } catch (IOException | IllegalArgumentException e) {
       logger.atWarning().withCause(e).log(
           "%s", LogEvent.of("configuration.unreadable").with("offset", record.offset()));
--- a/node/src/main/java/dev/ibishub/node/EntryNode.java
+++ b/node/src/main/java/dev/ibishub/node/EntryNode.java
@@ -73,7 +73,7 @@
   private final EventLoopGroup group =
       new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
   private final ScheduledExecutorService ticker = group.next();
-  private final ConfigurationState configuration = new ConfigurationState();
+  private final CurrentConfiguration configuration = new CurrentConfiguration();
   private final CrashWatch crashes;
   private final LimitWatch limits;
   private final TargetDirectory targets;
--- a/node/src/main/java/dev/ibishub/node/StoreTopics.java
+++ b/node/src/main/java/dev/ibishub/node/StoreTopics.java
@@ -48,7 +48,7 @@
   private static final FollowerOptions ENTRIES =
       new FollowerOptions(StoreClient.ENTRIES_TOPIC, 5_000, 1_500, 0);
 
-  private final ConfigurationState configuration;
+  private final CurrentConfiguration configuration;
   private final TargetDirectory targets;
   private final Listener listener;
   private final RecordFollower targetFollower;
@@ -68,7 +68,7 @@
 
   StoreTopics(
       StoreClient store,
-      ConfigurationState configuration,
+      CurrentConfiguration configuration,
       TargetDirectory targets,
       Listener listener) {
     this.configuration = configuration;
