--- a/gateway/src/main/java/dev/ibishub/gateway/records/RecordFollower.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/records/RecordFollower.java
@@ -16,34 +16,46 @@
 import java.util.stream.Collectors;
 
 /**
- * Knows the newest record of each key of one topic. Thread-safe by one lock; listeners are called
- * under it, in the order of the records.
+ * A local copy of the newest record of each key of one topic, kept up to date from the platform's
+ * store and from other entries. Thread-safe; the listener for changes is called under the lock, in
+ * the order of the records.
  *
- * <p>Calls to the store are paid for, so the entries share them: whoever reads tells the others,
- * and a follower reads by itself only when it has heard nothing for its period. Periods differ by
- * an entry's turn, so as long as the first in order can read, the others don't. An entry that the
- * store turns away hears from the others and is no worse off.
+ * <p>Calls to the store are charged for, so the entries share them: an entry that reads a batch
+ * broadcasts it, and a follower reads by itself only if its copy has not been confirmed for its
+ * period. Periods are staggered by the entries' order, so as long as the first entry can read, the
+ * others don't. An entry that the store rejects still gets the records from its peers.
  *
- * <p>Nothing goes back: a record is taken only with a higher offset than the key's last one, and a
- * whole batch only if it reaches as far as what is known. Reads can be seconds behind.
+ * <p>Reads from the store can be seconds stale, so the copy never goes back: a record is applied
+ * only if its offset is higher than that of the key's last record, and a snapshot only if it ends
+ * no earlier than the copy does.
+ *
+ * <p>Used on the users' platform; behind ibishub's own interface, {@code
+ * dev.ibishub.administration.ConfigurationFollower} follows the configuration.
  */
 public final class RecordFollower {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Pause after a failed read, milliseconds: a store that is down sees 4 calls a second each. */
+  /**
+   * Back-off after a failed read, milliseconds. A store that is down gets at most 4 calls per
+   * second from each entry.
+   */
   private static final long RETRY_MILLIS = 250;
 
   /**
-   * Entries that wait a whole turn after each other. Those behind them follow closely: of 42
-   * entries the last would otherwise wait 42 s for a configuration while its links to the first are
-   * broken, and when the first few are turned away by the store.
+   * Number of entries with the full stagger between their reads. Later entries follow at {@link
+   * #LATER_STAGGER} of it. With the full stagger for all, the last of 42 entries would wait 42 s
+   * for a configuration while the first entries are rejected by the store or its links to them are
+   * broken.
    */
-  static final int FIRST_TURNS = 4;
+  static final int FULL_STAGGER_ENTRIES = 4;
 
-  /** Turns between two of those behind; enough for the store's answer to reach the next in time. */
-  private static final double LATER_TURN = 1.0 / 64;
+  /**
+   * Fraction of the stagger between later entries; long enough for the store's response to reach
+   * the next entry before that one reads.
+   */
+  private static final double LATER_STAGGER = 1.0 / 64;
 
-  private static final long UNKNOWN = -1;
+  private static final long UNKNOWN_OFFSET = -1;
 
   private final FollowerOptions options;
   private final KeyedLog log;
@@ -51,19 +63,20 @@
   private final Consumer<RecordBatch> onRead;
   private final BiPredicate<KeyedRecord, KeyedRecord> isRenewal;
   private final Map<String, KeyedRecord> newest = new HashMap<>();
-  private long next = UNKNOWN;
+  private long nextOffset = UNKNOWN_OFFSET;
   private boolean historyLost;
   private boolean reading;
   private long confirmedAt = Long.MIN_VALUE / 2;
-  private long notBefore = Long.MIN_VALUE / 2;
+  private long retryAt = Long.MIN_VALUE / 2;
   private boolean reachable = true;
   private long outageMillis;
 
   /**
-   * Creates a follower that knows nothing yet and passes each record on.
+   * Creates an empty follower that passes on every record that it reads.
    *
-   * @param onChange told of each new record
-   * @param onRead told of each batch that this process read by itself, to pass it on to others
+   * @param onChange called with each new record
+   * @param onRead called with each batch that this process read from the store, to broadcast it;
+   *     called without the lock
    */
   public RecordFollower(
       FollowerOptions options,
@@ -74,12 +87,13 @@
   }
 
   /**
-   * Creates a follower that knows nothing yet.
+   * Creates an empty follower.
    *
-   * @param onChange told of each new record
-   * @param onRead told of each batch that this process read by itself, to pass it on to others
-   * @param isRenewal whether the second of two records of a key, both with a value, says nothing
-   *     that the first did not; such are left out of what is passed on
+   * @param onChange called with each new record
+   * @param onRead called with each batch that this process read from the store, to broadcast it;
+   *     called without the lock
+   * @param isRenewal whether the second of two records of a key, both with a value, only repeats
+   *     the content of the first; such records are left out of the batches passed to {@code onRead}
    */
   public RecordFollower(
       FollowerOptions options,
@@ -95,107 +109,115 @@
   }
 
   /**
-   * A record that is news.
+   * A new record.
    *
    * @param record the record
-   * @param outageMillis how long nothing had been known before this record came, milliseconds;
-   *     large after the store was away
+   * @param outageMillis time from the previous confirmation of the local copy to the arrival of
+   *     this record, milliseconds; large after an outage of the store
    */
   public record RecordChange(KeyedRecord record, long outageMillis) {}
 
+  /** Returns the name of the log that is followed. */
   public String topic() {
     return options.topic();
   }
 
-  /** Whether anything was ever read or heard. */
+  /** Whether any batch has been applied, from the store or another entry. */
   public synchronized boolean isKnown() {
-    return next != UNKNOWN;
+    return nextOffset != UNKNOWN_OFFSET;
   }
 
-  /** Returns how long ago what is known was last confirmed, milliseconds. */
+  /** Returns the time since the local copy was last confirmed, milliseconds. */
   public synchronized long ageMillis(long now) {
     return now - confirmedAt;
   }
 
-  /** Returns all that is known, to hand it to an entry that has just started. */
+  /** Returns a snapshot for an entry that has just started; empty if nothing is known yet. */
   public synchronized Optional<RecordBatch> snapshot() {
-    return next == UNKNOWN
+    return nextOffset == UNKNOWN_OFFSET
         ? Optional.empty()
-        : Optional.of(new RecordBatch(0, next, true, List.copyOf(newest.values())));
+        : Optional.of(new RecordBatch(0, nextOffset, true, List.copyOf(newest.values())));
   }
 
   /**
-   * Reads when it is this process's turn. To be called often.
+   * Starts a read if one is due. To be called often.
    *
-   * @param now the current time, milliseconds
-   * @param turn this entry's place in the order of reading, from 0
+   * @param now current time of the monotonic clock, milliseconds
+   * @param turn this entry's position in the order of reading, from 0
    */
   public void tick(long now, int turn) {
-    boolean whole;
+    boolean needsSnapshot;
     long from;
     synchronized (this) {
-      long due = confirmedAt + options.periodMillis() + (long) (place(turn) * options.turnMillis());
-      if (reading || now < notBefore || now < due) {
+      long due =
+          confirmedAt
+              + options.periodMillis()
+              + (long) (staggerFactor(turn) * options.staggerMillis());
+      if (reading || now < retryAt || now < due) {
         return;
       }
       reading = true;
-      whole = next == UNKNOWN || historyLost;
-      from = next;
+      needsSnapshot = nextOffset == UNKNOWN_OFFSET || historyLost;
+      from = nextOffset;
     }
     var batch =
-        whole
+        needsSnapshot
             ? log.newest(options.topic())
             : log.read(options.topic(), from, turn == 0 ? options.waitMillis() : 0);
-    batch.whenComplete((read, failure) -> finish(read, failure));
+    batch.whenComplete((read, failure) -> onReadDone(read, failure));
   }
 
-  private static double place(int turn) {
-    return Math.min(turn, FIRST_TURNS) + LATER_TURN * Math.max(0, turn - FIRST_TURNS);
+  private static double staggerFactor(int turn) {
+    return Math.min(turn, FULL_STAGGER_ENTRIES)
+        + LATER_STAGGER * Math.max(0, turn - FULL_STAGGER_ENTRIES);
   }
 
   /**
-   * Takes a batch in that another entry read.
+   * Applies a batch that another entry read, unless it leaves a gap or is an older snapshot.
    *
-   * @param now the current time, milliseconds
-   * @return whether it reached further than what was known
+   * @param now current time of the monotonic clock, milliseconds
+   * @return whether the batch was applied and extended the local copy
    */
-  public synchronized boolean onHeard(RecordBatch batch, long now) {
-    boolean isNews = batch.end() > next;
-    boolean fits = batch.isWhole() ? batch.end() >= next : next != UNKNOWN && batch.from() <= next;
-    if (fits) {
-      take(batch, now);
+  public synchronized boolean onPeerBatch(RecordBatch batch, long now) {
+    boolean isNewer = batch.end() > nextOffset;
+    boolean isApplicable =
+        batch.isWhole()
+            ? batch.end() >= nextOffset
+            : nextOffset != UNKNOWN_OFFSET && batch.from() <= nextOffset;
+    if (isApplicable) {
+      applyBatch(batch, now);
     }
-    return fits && isNews;
+    return isApplicable && isNewer;
   }
 
-  private void finish(RecordBatch batch, Throwable failure) {
+  private void onReadDone(RecordBatch batch, Throwable failure) {
     long now = MonotonicClock.millis();
-    Optional<RecordBatch> news = Optional.empty();
+    Optional<RecordBatch> toBroadcast = Optional.empty();
     synchronized (this) {
       reading = false;
       if (failure != null) {
         onFailure(failure, now);
-      } else if (batch.isWhole() && batch.end() < next) {
+      } else if (batch.isWhole() && batch.end() < nextOffset) {
         logger.atWarning().log(
             "%s",
             LogEvent.of("store.behind")
                 .with("topic", options.topic())
                 .with("end", batch.end())
-                .with("known", next));
-        notBefore = now + RETRY_MILLIS;
+                .with("known", nextOffset));
+        retryAt = now + RETRY_MILLIS;
       } else {
         onReachable(now);
         historyLost = historyLost && !batch.isWhole();
-        news = Optional.of(batch.isWhole() ? batch : withoutRenewals(batch));
-        take(batch, now);
+        toBroadcast = Optional.of(batch.isWhole() ? batch : withoutRenewals(batch));
+        applyBatch(batch, now);
       }
     }
-    news.ifPresent(onRead);
+    toBroadcast.ifPresent(onRead);
   }
 
   /**
-   * Leaves out what others know already. Targets write once a second each to say that they live,
-   * and all entries would decode each of these records, most of what they hear of the store.
+   * Returns a batch without heartbeats that bring no change. Each target writes one per second, and
+   * all entries would decode each of these records, which are most of those that they receive.
    */
   private RecordBatch withoutRenewals(RecordBatch batch) {
     Map<String, KeyedRecord> before = new HashMap<>();
@@ -203,12 +225,12 @@
     for (KeyedRecord record : batch.records()) {
       KeyedRecord known = before.getOrDefault(record.key(), newest.get(record.key()));
       before.put(record.key(), record);
-      boolean isRenewed =
+      boolean repeatsKnown =
           known != null
               && known.value().isPresent()
               && record.value().isPresent()
               && isRenewal.test(known, record);
-      if (!isRenewed) {
+      if (!repeatsKnown) {
         news.add(record);
       }
     }
@@ -220,10 +242,11 @@
     if (cause instanceof KeyedLog.HistoryLostException) {
       historyLost = true;
       logger.atInfo().log(
-          "%s", LogEvent.of("store.history_lost").with("topic", options.topic()).with("at", next));
+          "%s",
+          LogEvent.of("store.history_lost").with("topic", options.topic()).with("at", nextOffset));
       return;
     }
-    notBefore = now + RETRY_MILLIS;
+    retryAt = now + RETRY_MILLIS;
     if (reachable) {
       reachable = false;
       logger.atWarning().log(
@@ -246,37 +269,39 @@
     }
   }
 
-  private void take(RecordBatch batch, long now) {
-    // Records that come in one piece after an outage may tell of what happened early in it, so the
-    // whole gap counts for each of them, also when they arrive in several batches.
+  private void applyBatch(RecordBatch batch, long now) {
+    // Records that arrive together after an outage may describe events from its beginning, so the
+    // whole gap counts for each of them.
     long gap = now - confirmedAt;
-    long outage = next == UNKNOWN ? 0 : gap;
+    long outage = nextOffset == UNKNOWN_OFFSET ? 0 : gap;
     List<KeyedRecord> news = new ArrayList<>();
-    batch.records().stream().filter(this::isNews).forEach(news::add);
+    batch.records().stream().filter(this::isNewer).forEach(news::add);
     if (batch.isWhole()) {
-      dropped(batch).forEach(key -> news.add(new KeyedRecord(batch.end(), key, Optional.empty())));
+      keysMissingFrom(batch)
+          .forEach(key -> news.add(new KeyedRecord(batch.end(), key, Optional.empty())));
     }
-    next = Math.max(next, batch.end());
+    nextOffset = Math.max(nextOffset, batch.end());
     confirmedAt = now;
     outageMillis = outage;
-    news.forEach(this::apply);
+    news.forEach(this::applyRecord);
   }
 
-  private boolean isNews(KeyedRecord record) {
+  private boolean isNewer(KeyedRecord record) {
     KeyedRecord known = newest.get(record.key());
     return known == null || record.offset() > known.offset();
   }
 
-  private Set<String> dropped(RecordBatch whole) {
-    Set<String> named = whole.records().stream().map(KeyedRecord::key).collect(Collectors.toSet());
+  private Set<String> keysMissingFrom(RecordBatch snapshot) {
+    Set<String> present =
+        snapshot.records().stream().map(KeyedRecord::key).collect(Collectors.toSet());
     return newest.values().stream()
-        .filter(known -> known.value().isPresent() && known.offset() < whole.end())
+        .filter(known -> known.value().isPresent() && known.offset() < snapshot.end())
         .map(KeyedRecord::key)
-        .filter(key -> !named.contains(key))
+        .filter(key -> !present.contains(key))
         .collect(Collectors.toCollection(TreeSet::new));
   }
 
-  private void apply(KeyedRecord record) {
+  private void applyRecord(KeyedRecord record) {
     newest.put(record.key(), record);
     onChange.accept(new RecordChange(record, outageMillis));
   }
--- a/gateway/src/test/java/dev/ibishub/gateway/records/FakeKeyedLog.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/records/FakeKeyedLog.java
@@ -8,35 +8,37 @@
 import java.util.Optional;
 import java.util.concurrent.CompletableFuture;
 
-/** A keyed log in memory that can be down, forget its history, or answer from a while ago. */
+/** An in-memory keyed log that can be down, lose its history, or return stale snapshots. */
 public final class FakeKeyedLog implements KeyedLog {
   private final List<KeyedRecord> records = new ArrayList<>();
-  private int firstKept;
-  private int seen = Integer.MAX_VALUE;
+  private int firstRetained;
+  private int visibleEnd = Integer.MAX_VALUE;
   private boolean isDown;
   private int calls;
 
-  /** Adds a record. */
+  /** Appends a record with a text value. */
   public void put(String key, String value) {
     add(key, value.getBytes(StandardCharsets.UTF_8));
   }
 
-  void drop(String key) {
+  /** Appends a tombstone. */
+  void delete(String key) {
     records.add(new KeyedRecord(records.size(), key, Optional.empty()));
   }
 
-  /** Has every call fail from now on, or none. */
+  /** Sets whether calls fail from now on. */
   public void setDown(boolean down) {
     isDown = down;
   }
 
+  /** Makes reads from earlier offsets fail, as if their records were no longer retained. */
   void forgetHistory() {
-    firstKept = records.size();
+    firstRetained = records.size();
   }
 
-  /** Answers as if the log had ended after so many records. */
+  /** Hides the records from an offset on, as a stale replica does. */
   void answerAsOf(int end) {
-    seen = end;
+    visibleEnd = end;
   }
 
   int calls() {
@@ -48,7 +50,7 @@
   }
 
   private int end() {
-    return Math.min(seen, records.size());
+    return Math.min(visibleEnd, records.size());
   }
 
   @Override
@@ -70,7 +72,7 @@
     if (isDown) {
       return CompletableFuture.failedFuture(new IllegalStateException("down"));
     }
-    if (from < firstKept) {
+    if (from < firstRetained) {
       return CompletableFuture.failedFuture(new HistoryLostException("from " + from));
     }
     List<KeyedRecord> page = records.subList((int) Math.min(from, end()), end());
--- a/gateway/src/test/java/dev/ibishub/gateway/records/RecordFollowerTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/records/RecordFollowerTest.java
@@ -32,27 +32,27 @@
     into.put(record.key(), new String(record.value().get(), StandardCharsets.UTF_8));
   }
 
-  /** Lets the follower look at the log as if its period were over. */
+  /** Makes the follower read the log as if its period were over. */
   private void read() {
     follower.tick(MonotonicClock.millis() + 10_000, 0);
   }
 
   @Test
-  void newestRecordOfEachKeyIsKnown() {
+  void knowsNewestRecordOfEachKeyAfterRead() {
     log.put("a", "1");
     log.put("b", "1");
     read();
     log.put("a", "2");
-    log.drop("b");
+    log.delete("b");
     read();
 
     assertThat(known).containsExactly(Map.entry("a", "2"));
   }
 
-  // A key that was taken away works again. The store dropped its history, the entry read the newest
-  // records anew, and got an answer from some seconds before. Cause: taking any answer for newer.
+  // Guards against a revoked key that becomes valid again. After the store had lost its history,
+  // the entry read a snapshot that was some seconds stale and replaced newer records with it.
   @Test
-  void answerFromBeforeWhatIsKnownChangesNothing() {
+  void staleSnapshotIsIgnored() {
     log.put("configuration", "1");
     log.put("configuration", "2");
     read();
@@ -65,14 +65,14 @@
     assertThat(known).containsEntry("configuration", "2");
   }
 
-  // Requests go to a target that is gone. Its entry was dropped while the history was lost, so no
-  // record of it was ever read.
+  // Guards against requests to a target that no longer exists. Its record was deleted in a part of
+  // the history that the store no longer retained, so the follower never read the tombstone.
   @Test
-  void keyThatIsMissingAfterHistoryWasLostIsDropped() {
+  void keyMissingFromSnapshotAfterLostHistoryIsDeleted() {
     log.put("a", "1");
     log.put("b", "1");
     read();
-    log.drop("a");
+    log.delete("a");
     log.put("b", "2");
     log.forgetHistory();
     read();
@@ -81,27 +81,27 @@
     assertThat(known).containsExactly(Map.entry("b", "2"));
   }
 
-  // One entry serves with old keys. The store turned that machine away and served the others; none
-  // of them told it. Cause: every entry relying on its own reads.
+  // Guards against an entry that goes on with revoked keys because the store rejects its reads. The
+  // store served the other entries, but none of them passed on what they read.
   @Test
-  void entryThatTheStoreTurnsAwayLearnsFromTheOthers() {
-    Map<String, String> others = new TreeMap<>();
-    RecordFollower turnedAway = follower(others, new ArrayList<>());
+  void entryRejectedByStoreGetsRecordsFromPeers() {
+    Map<String, String> knownToRejected = new TreeMap<>();
+    RecordFollower rejected = follower(knownToRejected, new ArrayList<>());
     log.put("a", "1");
     read();
-    turnedAway.onHeard(follower.snapshot().orElseThrow(), MonotonicClock.millis());
+    rejected.onPeerBatch(follower.snapshot().orElseThrow(), MonotonicClock.millis());
     log.put("a", "2");
     read();
-    turnedAway.onHeard(passedOn.get(passedOn.size() - 1), MonotonicClock.millis());
+    rejected.onPeerBatch(passedOn.get(passedOn.size() - 1), MonotonicClock.millis());
 
-    assertThat(others).containsExactly(Map.entry("a", "2"));
+    assertThat(knownToRejected).containsExactly(Map.entry("a", "2"));
   }
 
   @Test
-  void batchThatLeavesAGapIsNotTaken() {
+  void peerBatchThatLeavesGapIsIgnored() {
     log.put("a", "1");
     read();
-    follower.onHeard(
+    follower.onPeerBatch(
         new RecordBatch(5, 6, false, List.of(new KeyedRecord(5, "z", bytes("1")))),
         MonotonicClock.millis());
 
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void entryThatHearsInTimeMakesNoCall() {
+  void makesNoCallWithinPeriodAndStagger() {
     log.put("a", "1");
     read();
     int before = log.calls();
@@ -120,7 +120,7 @@
   }
 
   @Test
-  void outageKeepsWhatIsKnown() {
+  void knownRecordsSurviveStoreOutage() {
     log.put("a", "1");
     read();
     log.setDown(true);
@@ -133,21 +133,23 @@
     return Optional.of(text.getBytes(StandardCharsets.UTF_8));
   }
 
-  // An entry of a large fleet serves by an old configuration for as many seconds as there are
-  // entries before it. Its links to those that read had broken, and its own turn to read was last.
+  // Guards against an old configuration staying in force at the last entry of a large fleet, for as
+  // many seconds as there are entries before it. Its links to the entries that read had broken, and
+  // its own turn to read came last.
   @Test
-  void lastOfManyEntriesReadsSoonAfterTheFirstFew() {
+  void lastEntryOfLargeFleetReadsSoonAfterFirstFew() {
     log.put("a", "1");
     long before = MonotonicClock.millis();
     read();
     long after = MonotonicClock.millis();
     log.put("a", "2");
-    long allOfTheFirst = OPTIONS.periodMillis() + RecordFollower.FIRST_TURNS * OPTIONS.turnMillis();
+    long fullStaggerMillis =
+        OPTIONS.periodMillis() + RecordFollower.FULL_STAGGER_ENTRIES * OPTIONS.staggerMillis();
 
-    follower.tick(before + allOfTheFirst, 41);
+    follower.tick(before + fullStaggerMillis, 41);
     assertThat(known).containsEntry("a", "1");
 
-    follower.tick(after + allOfTheFirst + OPTIONS.turnMillis(), 41);
+    follower.tick(after + fullStaggerMillis + OPTIONS.staggerMillis(), 41);
     assertThat(known).containsEntry("a", "2");
   }
 
@@ -155,10 +157,9 @@
     return Arrays.equals(before.value().orElseThrow(), after.value().orElseThrow());
   }
 
-  // Guards against control traffic that grows with time: each target writes once a second that it
-  // lives.
+  // Guards against control traffic that grows with time: each target writes a heartbeat per second.
   @Test
-  void recordsThatOnlyRenewAreNotPassedOn() {
+  void unchangedHeartbeatsAreNotPassedOn() {
     RecordFollower reader =
         new RecordFollower(OPTIONS, log, change -> {}, passedOn::add, RecordFollowerTest::sameText);
     log.put("a", "1");
@@ -167,7 +168,7 @@
     log.put("b", "1");
     log.put("a", "1");
     reader.tick(MonotonicClock.millis() + 20_000, 0);
-    log.drop("a");
+    log.delete("a");
     log.put("a", "1");
     reader.tick(MonotonicClock.millis() + 30_000, 0);
 
--- a/node/src/main/java/dev/ibishub/node/StoreTopics.java
+++ b/node/src/main/java/dev/ibishub/node/StoreTopics.java
@@ -23,28 +23,31 @@
 import java.util.function.Consumer;
 
 /**
- * What an entry follows in the platform's store: the configuration, the targets, other entries.
+ * The topics of the platform's store that an entry follows: configuration, targets and entries.
  * Thread-safe.
  */
 final class StoreTopics {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /**
-   * How the operator's configuration is followed: one entry keeps a read open that the store
-   * answers at once on a change, or after this long; the others step in if they hear nothing.
+   * Options for the operator's configuration. One entry keeps a long poll open, to which the store
+   * responds at once on a change and otherwise after the timeout; the others read only if they
+   * receive nothing from it.
    */
   private static final FollowerOptions CONFIGURATION =
       new FollowerOptions(StoreClient.OPERATOR_TOPIC, 50, 1_300, 1_000);
 
   /**
-   * How targets are followed. Each writes about once a second, so a read that is held open would
-   * return with each single write; a read each half second returns some ten of them, and a target
-   * that leaves is known within a quarter of the time that it has to be.
+   * Options for the targets. Each target writes about once per second, so a long poll would return
+   * at every single write. A read every half second returns some ten writes, and a target that
+   * leaves is known within a quarter of the time allowed for it.
    */
   private static final FollowerOptions TARGETS =
       new FollowerOptions(StoreClient.TARGETS_TOPIC, 500, 250, 0);
 
-  /** How entries that no other entry names are found; seeds and heartbeats name most. */
+  /**
+   * Options for the entries. They are read rarely, since seeds and heartbeats name most of them.
+   */
   private static final FollowerOptions ENTRIES =
       new FollowerOptions(StoreClient.ENTRIES_TOPIC, 5_000, 1_500, 0);
 
@@ -53,18 +56,20 @@
   private final Listener listener;
   private final RecordFollower targetFollower;
   private final List<RecordFollower> followers;
-  private final Map<String, Snapshot> snapshots = new ConcurrentHashMap<>();
+  private final Map<String, CachedSnapshot> snapshots = new ConcurrentHashMap<>();
 
   /**
-   * Told of what is read.
+   * Callbacks for what is read from the store.
    *
-   * @param broadcast tells all linked entries what this one read
-   * @param onEntryHost takes the IP number of an entry that the store names
+   * @param broadcast sends a message with records that this entry read to all linked entries
+   * @param onEntryHost called with the IP address of an entry that the store lists
    */
   record Listener(Consumer<Frame> broadcast, Consumer<String> onEntryHost) {}
 
-  /** A message of all that a follower knew when its topic ended there. */
-  private record Snapshot(long end, Frame frame) {}
+  /**
+   * A cached message with a follower's snapshot, valid while the topic's end offset is the same.
+   */
+  private record CachedSnapshot(long end, Frame frame) {}
 
   StoreTopics(
       StoreClient store,
@@ -79,7 +84,7 @@
             TARGETS,
             store,
             this::onTargetRecord,
-            batch -> tellOthers(TARGETS, batch),
+            batch -> broadcastBatch(TARGETS, batch),
             TargetEntryDecoder::isRenewal);
     this.followers =
         List.of(
@@ -87,34 +92,36 @@
                 CONFIGURATION,
                 store,
                 this::onConfigurationRecord,
-                batch -> tellOthers(CONFIGURATION, batch)),
+                batch -> broadcastBatch(CONFIGURATION, batch)),
             targetFollower,
             new RecordFollower(
-                ENTRIES, store, this::onEntryRecord, batch -> tellOthers(ENTRIES, batch)));
+                ENTRIES, store, this::onEntryRecord, batch -> broadcastBatch(ENTRIES, batch)));
   }
 
   /**
-   * Reads what is due. To be called often.
+   * Starts the reads that are due. To be called often.
    *
-   * @param turn this entry's place in the order of reading, from 0
+   * @param now current time of the monotonic clock, milliseconds
+   * @param turn this entry's position in the order of reading, from 0
    */
   void tick(long now, int turn) {
     followers.forEach(follower -> follower.tick(now, turn));
   }
 
+  /** Whether the targets have been received, from the store or another entry. */
   boolean areTargetsKnown() {
     return targetFollower.isKnown();
   }
 
-  /** Hands out each topic with how long ago what is known of it was confirmed, milliseconds. */
+  /** Passes each topic with the time since its local copy was confirmed, milliseconds. */
   void forEachAge(long now, BiConsumer<String, Long> consumer) {
     followers.forEach(follower -> consumer.accept(follower.topic(), follower.ageMillis(now)));
   }
 
   /**
-   * Takes in what another entry read.
+   * Applies records that another entry read.
    *
-   * @return whether it was news
+   * @return whether they extended the local copy
    */
   boolean onProgress(RecordProgress message) {
     long now = MonotonicClock.millis();
@@ -127,16 +134,16 @@
     }
     return followers.stream()
         .filter(follower -> follower.topic().equals(progress.getTopic()))
-        .map(follower -> follower.onHeard(RecordMessages.batch(progress), now))
+        .map(follower -> follower.onPeerBatch(RecordMessages.batch(progress), now))
         .reduce(false, Boolean::logicalOr);
   }
 
-  /** Returns messages of all that is known, for an entry that has just been linked. */
+  /** Returns a snapshot message for each known topic, for an entry that has just been linked. */
   List<Frame> snapshots() {
     return followers.stream().map(this::snapshot).flatMap(Optional::stream).toList();
   }
 
-  /** Keeps the message, as it may be large and its topic changes rarely. */
+  /** Returns the snapshot message, cached because it may be large and some topics change rarely. */
   private Optional<Frame> snapshot(RecordFollower follower) {
     return follower
         .snapshot()
@@ -144,14 +151,14 @@
             batch ->
                 snapshots.compute(
                     follower.topic(),
-                    (topic, kept) ->
-                        kept != null && kept.end() == batch.end()
-                            ? kept
-                            : new Snapshot(batch.end(), RecordMessages.frame(topic, batch))))
-        .map(Snapshot::frame);
+                    (topic, cached) ->
+                        cached != null && cached.end() == batch.end()
+                            ? cached
+                            : new CachedSnapshot(batch.end(), RecordMessages.frame(topic, batch))))
+        .map(CachedSnapshot::frame);
   }
 
-  private void tellOthers(FollowerOptions options, RecordBatch batch) {
+  private void broadcastBatch(FollowerOptions options, RecordBatch batch) {
     listener.broadcast().accept(RecordMessages.frame(options.topic(), batch));
   }
 
