--- a/node/src/main/java/dev/ibishub/node/EntryNode.java
+++ b/node/src/main/java/dev/ibishub/node/EntryNode.java
@@ -227,7 +227,7 @@
   private void apply(NodeSettings changed) {
     settings = changed;
     budgets.change(retryLimits(changed));
-    stop.change(changed);
+    stop.updateSettings(changed);
     mesh.addHosts(changed.seeds().stream().map(Sockets::host).toList(), MonotonicClock.millis());
   }
 
--- a/node/src/main/java/dev/ibishub/node/GracefulStop.java
+++ b/node/src/main/java/dev/ibishub/node/GracefulStop.java
@@ -9,27 +9,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A planned stop of an entry. It is no longer named to callers and not ready from the first moment,
- * but goes on serving, for callers keep an answer that names it: until the longest of these has run
- * out and nothing is under way, or the time for stopping is nearly over. Thread-safe.
+ * The graceful stop of an entry. From its beginning, the entry isn't ready and its address is no
+ * longer given to callers. It goes on serving, because callers cache addresses, until the cached
+ * ones have expired and no request is in flight, or until the grace period is nearly over.
+ * Thread-safe.
  */
 final class GracefulStop implements StopPlan {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /** Some callers keep an answer this many times as long as it is valid. */
-  private static final double KEPT_LONGER = 3;
+  /** Multiple of its validity for which some callers cache an address. */
+  private static final double CACHING_FACTOR = 3;
 
-  /** Left of the time for stopping, for the answers of the last moment to be written. */
+  /** Part of the grace period that is reserved for writing the last responses, milliseconds. */
   private static final long RESERVE_MILLIS = 400;
 
   /**
-   * How long any request is still taken, milliseconds: longer than most callers keep an answer, and
-   * nearly all streams that begin by then end before the process does. Later only requests are
-   * taken that must be over by then; others are told to come back at once, elsewhere.
+   * Time from the beginning of the stop during which every request is accepted, milliseconds. It is
+   * longer than most callers cache an address, and nearly all streams that begin by then end before
+   * the process does. Later, only requests whose deadline is before that end are accepted; other
+   * callers are told to retry at once at another entry.
    */
-  private static final long TAKES_ALL_MILLIS = 2_500;
+  private static final long ACCEPTS_ALL_MILLIS = 2_500;
+
+  /** Interval between checks whether the stop is complete, milliseconds. */
+  private static final long CHECK_INTERVAL_MILLIS = 50;
 
-  private static final long LOOK_MILLIS = 50;
   private static final long NOT_LEAVING = Long.MAX_VALUE;
 
   private volatile NodeSettings settings;
@@ -39,8 +43,8 @@
     this.settings = settings;
   }
 
-  /** Goes by other settings from now on. */
-  void change(NodeSettings changed) {
+  /** Replaces the settings. */
+  void updateSettings(NodeSettings changed) {
     settings = changed;
   }
 
@@ -52,22 +56,22 @@
   @Override
   public boolean mayCut(long deadline) {
     return isLeaving()
-        && MonotonicClock.millis() > leavingSince + TAKES_ALL_MILLIS
+        && MonotonicClock.millis() > leavingSince + ACCEPTS_ALL_MILLIS
         && deadline > endsAt();
   }
 
-  /** Stops the entry and ends the process. */
+  /** Stops the entry and exits the process; blocks until then. */
   void run(CallerServer server) {
     leavingSince = MonotonicClock.millis();
     logger.atInfo().log("%s", LogEvent.of("entry.leaving").with("in_flight", server.inFlight()));
     double validSeconds =
         Math.min(settings.addressValiditySeconds(), settings.longestAddressValiditySeconds());
     long servesUntil =
-        Math.min(endsAt(), leavingSince + (long) (KEPT_LONGER * validSeconds * 1_000));
+        Math.min(endsAt(), leavingSince + (long) (CACHING_FACTOR * validSeconds * 1_000));
     try {
       while (MonotonicClock.millis() < servesUntil
           || (server.inFlight() > 0 && MonotonicClock.millis() < endsAt())) {
-        Thread.sleep(LOOK_MILLIS);
+        Thread.sleep(CHECK_INTERVAL_MILLIS);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
