--- a/node/src/main/java/dev/ibishub/node/AgentNode.java
+++ b/node/src/main/java/dev/ibishub/node/AgentNode.java
@@ -20,34 +20,42 @@
 import java.util.concurrent.ThreadLocalRandom;
 import java.util.concurrent.TimeUnit;
 
-/** An agent: stands beside one target. */
+/**
+ * An agent process on the users' platform, which polls the engine of one target and connects it to
+ * the entries. Behind ibishub's own interface, {@code dev.ibishub.agent.Agent} takes this role.
+ */
 final class AgentNode {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private final EventLoop loop;
   private final RankAgent agent;
-  private ScheduledFuture<?> nextLook;
+  private ScheduledFuture<?> nextPoll;
 
   private AgentNode(EventLoop loop, RankEngine engine) {
     this.loop = loop;
-    this.agent = new RankAgent(engine, () -> loop.execute(this::look));
+    this.agent = new RankAgent(engine, () -> loop.execute(this::poll));
   }
 
   /**
-   * Looks at the engine, and again when that is due. One timer for all that an agent does: two of
-   * their own periods woke it 31 times a second, of which it needs 10.
+   * Polls the engine and schedules the next poll. One timer serves all of an agent's work: two
+   * timers with periods of their own woke it 31 times per second, of which 10 are needed.
    */
-  private void look() {
-    if (nextLook != null) {
-      nextLook.cancel(false);
+  private void poll() {
+    if (nextPoll != null) {
+      nextPoll.cancel(false);
     }
     agent.look();
-    nextLook = loop.schedule(this::look, agent.untilNextLookMillis(), TimeUnit.MILLISECONDS);
+    nextPoll = loop.schedule(this::poll, agent.untilNextLookMillis(), TimeUnit.MILLISECONDS);
   }
 
+  /**
+   * Starts an agent.
+   *
+   * @param file file that the settings were read from
+   */
   static void start(NodeSettings settings, Path file) {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    InetSocketAddress engine = Sockets.address(settings.engineAddress().orElseThrow());
+    InetSocketAddress engine = SocketAddresses.parse(settings.engineAddress().orElseThrow());
     AgentNode node =
         new AgentNode(
             group.next(),
@@ -61,11 +69,11 @@
                 ThreadLocalRandom.current().nextLong()),
             group);
     transport.listen(settings.host(), settings.linkPort(), node.agent).join();
-    node.loop.execute(node::look);
+    node.loop.execute(node::poll);
     logger.atInfo().log(
         "%s", LogEvent.of("agent.started").with("engine", settings.engineAddress().orElse("")));
-    // Without a handler of its own the JVM ends on SIGHUP, which here only says that the settings
-    // may have changed. An agent uses none that can change while it runs.
+    // A JVM without a handler exits on SIGHUP, which here only means that the settings may have
+    // changed. None of the settings that an agent uses can change while it runs.
     new SettingsWatch(file, settings, changed -> {}).start(group);
     StopSignals.onStop(
         () -> {
--- a/node/src/main/java/dev/ibishub/node/EntryNode.java
+++ b/node/src/main/java/dev/ibishub/node/EntryNode.java
@@ -51,22 +51,29 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** An entry: takes callers' requests on one VM and finds everything else by itself. */
+/**
+ * An entry process on the users' platform, which relays callers' requests to targets. It learns the
+ * configuration, the targets and the other entries from the store and its peers. Behind ibishub's
+ * own interface, {@code dev.ibishub.entry.Entry} takes this role.
+ */
 final class EntryNode {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  /**
-   * Threads for connections; a VM has about one core, so a second would only be one more to wake.
-   */
+  /** Threads for connections. A VM has about one core, so a second one would only add wake-ups. */
   private static final int IO_THREADS = 1;
 
-  /** Time between two looks at what is due, milliseconds, for an entry that leads or starts. */
+  /** Interval between ticks of an entry that leads or has just started, milliseconds. */
   private static final long BUSY_TICK_MILLIS = 25;
 
-  /** The same for others, whose shortest period is that of the loads that they pass on. */
+  /**
+   * Interval between ticks of other entries, whose shortest period is relaying loads, milliseconds.
+   */
   private static final long TICK_MILLIS = 100;
 
-  /** How long an entry counts as starting, milliseconds: until links and lead are settled. */
+  /**
+   * Time for which an entry counts as starting, milliseconds. Links and the leader are settled by
+   * its end.
+   */
   private static final long STARTING_MILLIS = 4_000;
 
   private volatile NodeSettings settings;
@@ -95,7 +102,7 @@
 
   private EntryNode(NodeSettings settings) {
     this.settings = settings;
-    InetSocketAddress storeAddress = Sockets.address(settings.storeAddress().orElseThrow());
+    InetSocketAddress storeAddress = SocketAddresses.parse(settings.storeAddress().orElseThrow());
     HttpCaller caller = new HttpCaller(group);
     metrics = new NodeMetrics(PrometheusRegistry.defaultRegistry);
     crashes = new CrashWatch(this::broadcast);
@@ -183,7 +190,7 @@
   /**
    * Starts an entry.
    *
-   * @param file where the settings were read from, to read them again when they change
+   * @param file file that the settings were read from, which is reloaded when it changes
    */
   static EntryNode start(NodeSettings settings, Path file) {
     EntryNode node = new EntryNode(settings);
@@ -198,18 +205,19 @@
             .with("host", settings.host())
             .with("zone", settings.zone())
             .with("seeds", settings.seeds()));
-    mesh.addHosts(settings.seeds().stream().map(Sockets::host).toList(), MonotonicClock.millis());
+    mesh.addHosts(
+        settings.seeds().stream().map(SocketAddresses::host).toList(), MonotonicClock.millis());
     transport.listen(settings.host(), settings.linkPort(), mesh).join();
     ticker.execute(this::tick);
-    server.listen(group, Sockets.address(settings.callerAddress().orElseThrow()));
+    server.listen(group, SocketAddresses.parse(settings.callerAddress().orElseThrow()));
     isListening = true;
     PageServer.listen(
         group,
-        Sockets.address(settings.readinessAddress().orElseThrow()),
+        SocketAddresses.parse(settings.readinessAddress().orElseThrow()),
         AddressPages.readiness(this::isReady));
     PageServer.listen(
         group,
-        Sockets.address(settings.directoryAddress().orElseThrow()),
+        SocketAddresses.parse(settings.directoryAddress().orElseThrow()),
         AddressPages.addresses(
             () -> mesh.callerAddresses(MonotonicClock.millis()),
             () -> settings.addressValiditySeconds()));
@@ -220,22 +228,23 @@
           new MetricsText(PrometheusRegistry.defaultRegistry, this::updateMetrics));
     }
     StopSignals.onStop(() -> stop.run(server));
-    new SettingsWatch(file, settings, this::apply).start(ticker);
+    new SettingsWatch(file, settings, this::applySettings).start(ticker);
   }
 
-  /** Takes over what changed in the settings, without a pause in serving. */
-  private void apply(NodeSettings changed) {
+  /** Applies changed settings without interrupting requests. */
+  private void applySettings(NodeSettings changed) {
     settings = changed;
     budgets.change(retryLimits(changed));
     stop.updateSettings(changed);
-    mesh.addHosts(changed.seeds().stream().map(Sockets::host).toList(), MonotonicClock.millis());
+    mesh.addHosts(
+        changed.seeds().stream().map(SocketAddresses::host).toList(), MonotonicClock.millis());
   }
 
   private void broadcast(Frame frame) {
     mesh.broadcast(frame);
   }
 
-  /** All that this entry knows, for one that it is newly linked to. */
+  /** Returns messages with all that this entry knows, for an entry that has just been linked. */
   private List<Frame> snapshots() {
     return Stream.of(
             topics.snapshots().stream(), crashes.snapshot().stream(), limits.snapshot().stream())
@@ -263,9 +272,10 @@
       boolean collects = mesh.isFirst(LoadRelay.COLLECTORS, now);
       Set<String> engineHosts = collects ? engineHosts() : Set.of();
       experts.tick(leads, now);
-      // Whoever will lead as soon as it may has the maps and counts by then.
-      boolean watches = collects && turn == 0;
-      ranks.tick(engineHosts, watches, experts::wantsPicks, now);
+      // The first entry in order collects maps and picks before it may lead, so that it has them
+      // when it does.
+      boolean collectsPicksAndMaps = collects && turn == 0;
+      ranks.tick(engineHosts, collectsPicksAndMaps, experts::wantsPicks, now);
       if (leads) {
         paths.lookAround(engineHosts, now);
       }
@@ -287,7 +297,7 @@
     return mesh;
   }
 
-  /** IP numbers of targets that are model engines; an agent may stand beside each. */
+  /** Returns the IP addresses of targets that are model engines; each may have an agent. */
   private Set<String> engineHosts() {
     Optional<ServingConfiguration> current = configuration.get();
     if (current.isEmpty()) {
@@ -313,7 +323,7 @@
         mesh.leads(now));
   }
 
-  /** Tells entries that share no seed with this one where it is, once. */
+  /** Writes this entry's address to the store once, for entries that share no seed with it. */
   private void announce() {
     if (isAnnounced || !isReady()) {
       return;
--- a/node/src/main/java/dev/ibishub/node/Sockets.java
+++ b/node/src/main/java/dev/ibishub/node/SocketAddresses.java
@@ -2,17 +2,18 @@
 
 import java.net.InetSocketAddress;
 
-/** Addresses in settings. */
-final class Sockets {
-  private Sockets() {}
+/** Parsing of the {@code IP:PORT} addresses in settings. */
+final class SocketAddresses {
+  private SocketAddresses() {}
 
-  /** Reads {@code IP:PORT}, which the settings have checked. */
-  static InetSocketAddress address(String text) {
+  /** Parses an {@code IP:PORT}, which has been validated with the settings. */
+  static InetSocketAddress parse(String text) {
     int colon = text.lastIndexOf(':');
     return new InetSocketAddress(
         text.substring(0, colon), Integer.parseInt(text.substring(colon + 1)));
   }
 
+  /** Returns the IP address of an {@code IP:PORT}. */
   static String host(String text) {
     return text.substring(0, text.lastIndexOf(':'));
   }
