--- a/node/src/main/java/dev/ibishub/node/SettingsWatch.java
+++ b/node/src/main/java/dev/ibishub/node/SettingsWatch.java
@@ -16,26 +16,28 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the settings again on SIGHUP and when the file has changed. Wrong ones are refused with a
- * log line and what was in force stays. Of right ones the process takes over at once what it can;
- * names and addresses stay as they are until it is started again, and a log line says which differ.
- * Nothing in flight is touched.
+ * Reloads the settings on SIGHUP and when the file changes. Invalid settings are rejected with a
+ * log line, and the previous ones stay in force. Valid settings apply at once, except names and
+ * addresses, which change only after a restart; a log line lists those that differ. Requests in
+ * flight aren't affected.
  */
 final class SettingsWatch {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
-  private static final long LOOK_SECONDS = 1;
+  /** Interval between checks of the file's modification time, seconds. */
+  private static final long CHECK_INTERVAL_SECONDS = 1;
 
   private final Path file;
   private final Consumer<NodeSettings> apply;
   private NodeSettings inForce;
-  private FileTime changedAt;
+  private FileTime lastModified;
 
   /**
-   * Creates a watch that has not looked yet.
+   * Creates a watch, which does nothing until it is started.
    *
+   * @param file file with the settings
    * @param settings the settings in force
-   * @param apply takes changed settings over, with the names and addresses of those in force
+   * @param apply called with changed settings, which keep the names and addresses in force
    */
   SettingsWatch(Path file, NodeSettings settings, Consumer<NodeSettings> apply) {
     this.file = file;
@@ -43,17 +45,18 @@
     this.apply = apply;
   }
 
+  /** Starts to watch the file and the signal; reloads run on the executor. */
   void start(ScheduledExecutorService executor) {
-    changedAt = lastChange();
+    lastModified = readLastModified();
     StopSignals.onReload(() -> executor.execute(this::reload));
     executor.scheduleWithFixedDelay(
-        this::reloadIfChanged, LOOK_SECONDS, LOOK_SECONDS, TimeUnit.SECONDS);
+        this::reloadIfChanged, CHECK_INTERVAL_SECONDS, CHECK_INTERVAL_SECONDS, TimeUnit.SECONDS);
   }
 
   private void reloadIfChanged() {
-    FileTime now = lastChange();
-    if (!now.equals(changedAt)) {
-      changedAt = now;
+    FileTime now = readLastModified();
+    if (!now.equals(lastModified)) {
+      lastModified = now;
       reload();
     }
   }
@@ -77,12 +80,12 @@
     }
   }
 
-  private FileTime lastChange() {
+  private FileTime readLastModified() {
     try {
       return Files.getLastModifiedTime(file);
     } catch (IOException e) {
       logger.atWarning().log("%s", LogEvent.of("settings.unreadable").with("cause", e));
-      return changedAt;
+      return lastModified;
     }
   }
 }
