--- a/node/src/main/java/dev/ibishub/node/MetricsText.java
+++ b/node/src/main/java/dev/ibishub/node/MetricsText.java
@@ -10,7 +10,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.function.Function;
 
-/** The page of metrics, in the text format of Prometheus. Thread-safe. */
+/** The metrics page, in the Prometheus text format. Thread-safe. */
 final class MetricsText implements Function<String, Page> {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -22,7 +22,7 @@
   /**
    * Creates the page.
    *
-   * @param update brings gauges up to date, before each reading
+   * @param update updates the gauges; called before each scrape
    */
   MetricsText(PrometheusRegistry registry, Runnable update) {
     this.registry = registry;
--- a/node/src/main/java/dev/ibishub/node/NodeMain.java
+++ b/node/src/main/java/dev/ibishub/node/NodeMain.java
@@ -11,21 +11,20 @@
 import java.util.Optional;
 import java.util.concurrent.Executors;
 
-/** Command line of {@code ibishub-node}. */
+/** Main class of {@code ibishub-node}, which runs an entry or an agent on the users' platform. */
 public final class NodeMain {
   private NodeMain() {}
 
   /**
-   * Runs an entry, or an agent where the settings name a target's address, until it is told to
-   * stop.
+   * Runs an agent if the settings have an engine's address, else an entry, until a stop signal.
    *
    * @param arguments see {@code ibishub-node --help}
    */
   public static void main(String[] arguments) throws IOException {
-    // The platform starts programs without a command line of its own and names the file otherwise.
-    Optional<Path> given =
+    // The platform starts processes without arguments and passes the file in the environment.
+    Optional<Path> fromEnvironment =
         arguments.length == 0 ? SettingsLocation.find(System.getenv()) : Optional.empty();
-    Path file = given.isPresent() ? given.get() : fileOnCommandLine(arguments);
+    Path file = fromEnvironment.isPresent() ? fromEnvironment.get() : fileOnCommandLine(arguments);
     NodeSettings settings = readOrExit(file);
     LogSetup.configureQueued(settings.processId());
     Startup.orEnd(Executors.callable(() -> start(settings, file)));
--- a/node/src/main/java/dev/ibishub/node/NodeMetrics.java
+++ b/node/src/main/java/dev/ibishub/node/NodeMetrics.java
@@ -4,7 +4,7 @@
 import io.prometheus.metrics.core.metrics.Gauge;
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
-/** What a process counts besides requests. Thread-safe. */
+/** Metrics of an entry other than those of requests. Thread-safe. */
 final class NodeMetrics {
   private final Counter storeCalls;
 
@@ -43,14 +43,21 @@
             .register(registry);
   }
 
+  /**
+   * Counts a call to the store.
+   *
+   * @param status HTTP status; 0 if there was no response
+   */
   void onStoreCall(String call, int status) {
     storeCalls.labelValues(call, Integer.toString(status)).inc();
   }
 
+  /** Sets the time since the local copy of a topic was last confirmed, milliseconds. */
   void onAge(String topic, long millis) {
     age.labelValues(topic).set(millis / 1_000.0);
   }
 
+  /** Sets the gauges of the configuration, entries and leadership. */
   void onState(long configurationVersion, int entriesAlive, boolean leads) {
     version.set((double) configurationVersion);
     entries.set(entriesAlive);
--- a/node/src/main/java/dev/ibishub/node/package-info.java
+++ b/node/src/main/java/dev/ibishub/node/package-info.java
@@ -1,2 +1,5 @@
-/** The programs that run on the users' platform: the product's parts joined to the adapter. */
+/**
+ * Entry and agent processes for the users' platform, which connect the gateway to the platform
+ * adapter.
+ */
 package dev.ibishub.node;
