--- a/node/src/test/java/dev/ibishub/node/NodeEndToEndTest.java
+++ b/node/src/test/java/dev/ibishub/node/NodeEndToEndTest.java
@@ -18,21 +18,27 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Real entries and agents against stand-ins of the platform, on loopback. */
+/** Runs entry and agent processes on loopback against stand-ins for the platform. */
 final class NodeEndToEndTest {
-  /** A line has some 250 bytes, a pipe 64 KB, and 2,048 lines wait in the process. */
+  /** A log line has about 250 bytes, the pipe holds 64 KB and the process's queue 2,048 lines. */
   private static final int LINES_BEYOND_PIPE_AND_QUEUE = 3_000;
 
-  /** From the first naming of a limit to the time from which it binds. */
-  private static final Duration STABLE = Duration.ofSeconds(3);
+  /** Time from a target's first statement of a limit until the entries have to keep it. */
+  private static final Duration LIMIT_GRACE = Duration.ofSeconds(3);
 
+  /** Window in which requests are counted against a limit. */
   private static final Duration LIMIT_WINDOW = Duration.ofSeconds(4);
+
+  /** Factor by which a window may exceed the limit, in addition to {@link #LIMIT_SLACK}. */
   private static final double LIMIT_TOLERANCE = 1.5;
+
+  /** Requests that a window may have beyond the limit and its tolerance. */
   private static final double LIMIT_SLACK = 5;
+
   private static final long CALLER_PAUSE_MILLIS = 50;
 
-  /** After this long a target that refused once is as good as any other. */
-  private static final Duration FORGIVEN = Duration.ofSeconds(6);
+  /** Time after which a target that refused once is chosen like any other. */
+  private static final Duration REFUSAL_MEMORY = Duration.ofSeconds(6);
 
   private static final int REQUESTS = 40;
 
@@ -48,7 +54,7 @@
     second = deployment.target("i-2", "127.0.0.1", "pages");
     deployment.startEntry("entry-1", "127.0.1.1", "127.0.1.1");
     deployment.startEntry("entry-2", "127.0.1.2", "127.0.1.1");
-    deployment.await("both entries named", () -> isNamed("entry-1") && isNamed("entry-2"));
+    deployment.await("both entries listed", () -> isListed("entry-1") && isListed("entry-2"));
   }
 
   @AfterEach
@@ -56,7 +62,7 @@
     deployment.close();
   }
 
-  private boolean isNamed(String entry) throws IOException, InterruptedException {
+  private boolean isListed(String entry) throws IOException, InterruptedException {
     return deployment.resolve("entry-1").contains(deployment.callerAddress(entry));
   }
 
@@ -65,7 +71,7 @@
   }
 
   @Test
-  void requestsAreRelayedAsTheyCame() throws IOException, InterruptedException {
+  void relaysRequestsUnchanged() throws IOException, InterruptedException {
     assertThat(page("entry-1").body()).isEqualTo("GET /page/x?y=%20z ");
     HttpResponse<String> posted = deployment.call("entry-2", "POST", "/once/a", "");
     assertThat(posted.body()).isEqualTo("POST /once/a the body");
@@ -78,16 +84,16 @@
   }
 
   @Test
-  void streamIsRelayedWhole() throws IOException, InterruptedException {
+  void relaysAllEventsOfStream() throws IOException, InterruptedException {
     String body = deployment.call("entry-1", "POST", "/stream/a", "").body();
 
     assertThat(body.lines().filter(line -> line.startsWith("id: ")))
         .containsExactly("id: 1", "id: 2", "id: 3", "id: 4", "id: 5");
   }
 
-  // A reader sees the same sentence twice, or misses one. The target broke off in the middle of an
-  // event; the entry went on at another target and has to begin where the caller's last event
-  // ended.
+  // Guards against repeated or missing text in a stream. When a target breaks a stream off in the
+  // middle of an event, the entry has to resume at another target where the last event that the
+  // caller received ended.
   @Test
   void brokenStreamGoesOnAtAnotherTarget() throws IOException, InterruptedException {
     first.breakStreamsAfter(2);
@@ -98,15 +104,15 @@
     }
   }
 
-  private boolean isToldOfCrashes(String entry, int crashes) throws IOException {
+  private boolean hasReceivedCrashReports(String entry, int crashes) throws IOException {
     return deployment.logOf(entry).lines().filter(line -> line.contains("crash.told")).count()
         >= crashes;
   }
 
-  // Guards against a request that takes one target after the other down, as it comes again at other
-  // entries.
+  // Guards against a request that crashes one target after the other because callers retry it at
+  // other entries.
   @Test
-  void requestThatCrashesTargetsIsRefusedAtEveryEntry() throws IOException, InterruptedException {
+  void requestThatCrashedTargetsIsRefusedAtOtherEntry() throws IOException, InterruptedException {
     TargetStandIn third = deployment.target("i-3", "127.0.0.1", "pages");
     List<TargetStandIn> targets = List.of(first, second, third);
     targets.forEach(target -> target.crashOn("/page/poison"));
@@ -119,7 +125,7 @@
 
     assertThat(deployment.call("entry-1", "GET", "/page/poison", "key-1").statusCode())
         .isEqualTo(502);
-    deployment.await("the other entry told", () -> isToldOfCrashes("entry-2", 2));
+    deployment.await("crash reports received", () -> hasReceivedCrashReports("entry-2", 2));
     HttpResponse<String> again = deployment.call("entry-2", "GET", "/page/poison", "key-1");
 
     assertThat(again.statusCode()).isEqualTo(503);
@@ -128,7 +134,7 @@
   }
 
   @Test
-  void newConfigurationTakesHoldAtEveryEntry() throws IOException, InterruptedException {
+  void newConfigurationAppliesAtEveryEntry() throws IOException, InterruptedException {
     TargetStandIn other = deployment.target("i-3", "127.0.0.1", "other");
     deployment.publish(9, "other", "key-1");
 
@@ -144,7 +150,7 @@
   }
 
   @Test
-  void keyTakenAwayIsRefusedAndAnOlderVersionDoesNotBringItBack()
+  void revokedKeyIsRefusedEvenAfterOlderVersionIsPublished()
       throws IOException, InterruptedException {
     deployment.publish(9, "pages", "key-2");
     deployment.await(
@@ -160,9 +166,9 @@
   }
 
   @Test
-  void leavingTargetGetsNothingMore() throws IOException, InterruptedException {
+  void drainingTargetGetsNoMoreRequests() throws IOException, InterruptedException {
     deployment.store().put("keyed.servers", "i-1", first.entry("pages", "draining"));
-    deployment.await("target left", () -> gotNothingFor(first, 10));
+    deployment.await("target left", () -> getsNoneOfNext(first, 10));
 
     assertThat(page("entry-2").statusCode()).isEqualTo(200);
   }
@@ -178,7 +184,7 @@
     assertThat(page("entry-1").statusCode()).isEqualTo(200);
   }
 
-  private boolean gotNothingFor(TargetStandIn target, int requests)
+  private boolean getsNoneOfNext(TargetStandIn target, int requests)
       throws IOException, InterruptedException {
     int before = target.ran().size();
     for (int i = 0; i < requests; i++) {
@@ -189,10 +195,10 @@
   }
 
   @Test
-  void plannedStopCutsNoRequestAndIsNotNamedAnyMore() throws IOException, InterruptedException {
+  void gracefulStopServesRequestsAndWithdrawsAddress() throws IOException, InterruptedException {
     deployment.process("entry-2").destroy();
     deployment.await("not ready", () -> deployment.readiness("entry-2") == 503);
-    deployment.await("not named", () -> !isNamed("entry-2"));
+    deployment.await("not listed", () -> !isListed("entry-2"));
     for (int i = 0; i < 5; i++) {
       HttpResponse<String> last = page("entry-2");
       assertThat(last.statusCode()).isEqualTo(200);
@@ -205,14 +211,14 @@
   }
 
   @Test
-  void killedEntryIsNotNamedAnyMore() throws InterruptedException {
+  void addressOfKilledEntryIsWithdrawn() throws InterruptedException {
     deployment.process("entry-2").destroyForcibly();
 
-    deployment.await("not named", () -> !isNamed("entry-2"));
+    deployment.await("not listed", () -> !isListed("entry-2"));
   }
 
   @Test
-  void outageOfTheStoreStopsNothing() throws IOException, InterruptedException {
+  void storeOutageDoesNotInterruptServing() throws IOException, InterruptedException {
     deployment.store().setDown(true);
     IntStream.range(0, 3).forEach(i -> assertThat(pageStatus("entry-1")).isEqualTo(200));
     deployment.startEntry("entry-3", "127.0.1.3", "127.0.1.1");
@@ -225,30 +231,32 @@
     deployment.await("change after the outage", () -> pageStatus("entry-3") == 401);
   }
 
-  // Guards against entries that together send a target more requests than the limit it names.
+  // Guards against entries that keep a target's limit one by one but exceed it together.
   @Test
-  void entriesTogetherKeepTheLimitThatATargetNames() throws IOException, InterruptedException {
+  void entriesTogetherKeepTargetsLimit() throws IOException, InterruptedException {
     List<String> entries = List.of("entry-1", "entry-2", "entry-3", "entry-4");
     deployment.startEntry("entry-3", "127.0.1.3", "127.0.1.1");
     deployment.startEntry("entry-4", "127.0.1.4", "127.0.1.1");
-    deployment.await("all entries named", () -> entries.stream().allMatch(this::isNamedSomewhere));
+    deployment.await(
+        "all entries listed", () -> entries.stream().allMatch(this::isListedUnchecked));
     double limit = 1;
     first.nameLimit(limit);
-    Instant named = Instant.now();
-    while (Instant.now().isBefore(named.plus(STABLE).plus(LIMIT_WINDOW.multipliedBy(2)))) {
+    Instant statedAt = Instant.now();
+    while (Instant.now().isBefore(statedAt.plus(LIMIT_GRACE).plus(LIMIT_WINDOW.multipliedBy(2)))) {
       entries.forEach(entry -> assertThat(pageStatus(entry)).isEqualTo(200));
       Thread.sleep(CALLER_PAUSE_MILLIS);
     }
 
     double allowed = LIMIT_TOLERANCE * limit * LIMIT_WINDOW.toSeconds() + LIMIT_SLACK;
-    assertThat(mostArrivals(first, named.plus(STABLE))).isLessThanOrEqualTo((long) allowed);
+    assertThat(maximumArrivals(first, statedAt.plus(LIMIT_GRACE)))
+        .isLessThanOrEqualTo((long) allowed);
   }
 
-  // Guards against requests to a target that has asked this entry for rest.
+  // Guards against requests to a target that has asked this entry to back off.
   @Test
-  void targetThatAskedForRestIsLeftAlone() throws IOException, InterruptedException {
+  void targetThatAskedForBackOffGetsNoMoreRequests() throws IOException, InterruptedException {
     first.askForRest(Duration.ofHours(1));
-    Instant end = Instant.now().plus(FORGIVEN);
+    Instant end = Instant.now().plus(REFUSAL_MEMORY);
     while (Instant.now().isBefore(end)) {
       assertThat(page("entry-1").statusCode()).isEqualTo(200);
       Thread.sleep(CALLER_PAUSE_MILLIS);
@@ -257,22 +265,23 @@
     assertThat(first.arrivals()).hasSizeLessThanOrEqualTo(1);
   }
 
-  // Guards against requests to a target that says only in its answers that it leaves.
+  // Guards against requests to a target that announces only in its responses that it is draining.
   @Test
-  void targetThatSaysInAnAnswerThatItLeavesGetsNothingMore()
+  void targetThatAnnouncesDrainInResponseGetsNoMoreRequests()
       throws IOException, InterruptedException {
     first.sayThatItLeaves();
-    deployment.await("told", () -> page("entry-1").statusCode() == 200 && first.ran().size() > 0);
-    int told = first.arrivals().size();
+    deployment.await(
+        "drain announced", () -> page("entry-1").statusCode() == 200 && first.ran().size() > 0);
+    int arrivalsBefore = first.arrivals().size();
     for (int i = 0; i < REQUESTS; i++) {
       assertThat(page("entry-1").statusCode()).isEqualTo(200);
     }
 
-    assertThat(first.arrivals()).hasSize(told);
+    assertThat(first.arrivals()).hasSize(arrivalsBefore);
   }
 
-  /** Returns the most requests that a target got in any window of the limit since a moment. */
-  private static long mostArrivals(TargetStandIn target, Instant since) {
+  /** Returns the maximum number of requests that a target got in a limit window since a time. */
+  private static long maximumArrivals(TargetStandIn target, Instant since) {
     List<Instant> arrivals =
         target.arrivals().stream().filter(arrival -> arrival.isAfter(since)).toList();
     return arrivals.stream()
@@ -286,9 +295,9 @@
         .orElse(0);
   }
 
-  private boolean isNamedSomewhere(String entry) {
+  private boolean isListedUnchecked(String entry) {
     try {
-      return isNamed(entry);
+      return isListed(entry);
     } catch (IOException e) {
       return false;
     } catch (InterruptedException e) {
@@ -309,7 +318,7 @@
   }
 
   @Test
-  void agentTellsEntriesAndMayEndAtAnyTime() throws IOException, InterruptedException {
+  void killedAgentDoesNotInterruptRequestsToItsTarget() throws IOException, InterruptedException {
     TargetStandIn model = deployment.target("i-9", "127.0.0.9", "models");
     deployment.startAgent("agent-1", model);
     deployment.publish(9, "models", "key-1");
@@ -322,10 +331,10 @@
     assertThat(page("entry-2").statusCode()).isEqualTo(200);
   }
 
-  // An operator halves the time for which callers keep addresses, and nothing changes until the
-  // next start: settings were read again and checked, but no one used them.
+  // Guards against settings that take effect only after a restart: they were reloaded and checked,
+  // but the running entry went on with the old ones, here the validity of addresses.
   @Test
-  void changedSettingsAreInForceWithoutARestart() throws IOException, InterruptedException {
+  void changedSettingsApplyWithoutRestart() throws IOException, InterruptedException {
     deployment.changeSettings(
         "entry-1", "\"addressValiditySeconds\":2.0", "\"addressValiditySeconds\":1.0");
 
@@ -333,11 +342,11 @@
     assertThat(deployment.logOf("entry-1")).containsOnlyOnce("entry.started");
   }
 
-  // All streams pause for longer than they may: two experts that everybody wants stand at one rank.
-  // The leading entry reads what was chosen, has a copy made and lets all ranks switch at one step,
-  // also when a rank leaves orders unanswered and carries them out seconds later.
+  // Guards against long pauses in all streams when two popular experts are at one rank. The leading
+  // entry reads the experts that requests picked, has copies made and lets all ranks switch at the
+  // same step, even if a rank doesn't respond to orders and executes them seconds later.
   @Test
-  void expertsAreCopiedToWhereTheyAreWantedAndAllRanksSwitchAtOneStep()
+  void ranksSwitchToRebalancedMapAtSameStepDespiteUnansweredOrders()
       throws IOException, InterruptedException {
     RankGroup group = deployment.group("groups", new RankGroup.Options(4, 2, 8, 4, 2, 3));
     for (int rank = 0; rank < 4; rank++) {
@@ -354,10 +363,10 @@
     assertThat(group.breaches()).isEmpty();
   }
 
-  // All requests stop although callers, targets and the store are well. Whatever reads the log of
-  // an entry stood still, its pipe was full, and the next line that was written waited for it.
+  // Guards against requests blocked by logging. When the reader of an entry's log stalled, the pipe
+  // filled up and the next write of a line blocked, which stopped all requests.
   @Test
-  void logThatNobodyReadsDelaysNoRequest() throws IOException, InterruptedException {
+  void unreadLogDoesNotBlockRequests() throws IOException, InterruptedException {
     deployment.startEntryWithUnreadLog("entry-3", "127.0.1.3", "127.0.1.1");
     deployment.await("entry-3 serves", () -> page("entry-3").statusCode() == 200);
     for (int i = 0; i < LINES_BEYOND_PIPE_AND_QUEUE; i++) {
@@ -370,7 +379,7 @@
   }
 
   @Test
-  void wrongSettingsAreRefusedAndTheOldOnesStay() throws IOException, InterruptedException {
+  void invalidSettingsAreRejectedAndOldOnesStay() throws IOException, InterruptedException {
     deployment.changeSettings(
         "entry-1", "\"addressValiditySeconds\":2.0", "\"addressValiditySeconds\":-1");
 
@@ -378,10 +387,10 @@
     assertThat(deployment.resolve("entry-1")).contains("\"ttl_s\":2.0");
   }
 
-  // Sixteen agents end at once and maps stand still. Settings had changed and every process got a
-  // SIGHUP; the agents had no handler, and a process without one ends.
+  // Guards against processes that exit on SIGHUP, which is the default without a handler. A change
+  // of settings sent it to every process; sixteen agents exited at once, and maps stopped changing.
   @Test
-  void hangUpSignalEndsNoProcess() throws IOException, InterruptedException {
+  void processesSurviveHangUpSignal() throws IOException, InterruptedException {
     TargetStandIn model = deployment.target("i-9", "127.0.0.9", "models");
     deployment.startAgent("agent-1", model);
     deployment.await("agent runs", () -> deployment.logOf("agent-1").contains("agent.started"));
@@ -394,11 +403,10 @@
     assertThat(page("entry-1").statusCode()).isEqualTo(200);
   }
 
-  // Callers who are sent to one entry get no answer, and nothing starts it anew. Its port was
-  // taken;
-  // the main thread ended with that, and the others kept the process alive.
+  // Guards against an entry that keeps running without serving, and so isn't restarted. Its port
+  // was in use, which ended the main thread, but other threads kept the process alive.
   @Test
-  void entryWhosePortIsTakenEnds() throws IOException, InterruptedException {
+  void entryExitsWhenPortIsInUse() throws IOException, InterruptedException {
     deployment.startEntry("entry-3", "127.0.1.1", "127.0.1.1");
 
     deployment.await("entry ended", () -> !deployment.process("entry-3").isAlive());
