--- a/gateway/src/main/java/dev/ibishub/gateway/records/RecordBatch.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/records/RecordBatch.java
@@ -7,10 +7,10 @@
  *
  * @param from offset at which the read began; 0 for a snapshot
  * @param end exclusive end offset of the records that the batch covers
- * @param isWhole whether this is a snapshot, that is, the newest record of every key that exists
+ * @param isSnapshot whether this is a snapshot, that is, the newest record of every key that exists
  * @param records the records in the order of their offsets
  */
-public record RecordBatch(long from, long end, boolean isWhole, List<KeyedRecord> records) {
+public record RecordBatch(long from, long end, boolean isSnapshot, List<KeyedRecord> records) {
   /** Makes an immutable copy of the records. */
   public RecordBatch {
     records = List.copyOf(records);
--- a/gateway/src/main/java/dev/ibishub/gateway/records/RecordFollower.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/records/RecordFollower.java
@@ -181,7 +181,7 @@
   public synchronized boolean onPeerBatch(RecordBatch batch, long now) {
     boolean isNewer = batch.end() > nextOffset;
     boolean isApplicable =
-        batch.isWhole()
+        batch.isSnapshot()
             ? batch.end() >= nextOffset
             : nextOffset != UNKNOWN_OFFSET && batch.from() <= nextOffset;
     if (isApplicable) {
@@ -197,7 +197,7 @@
       reading = false;
       if (failure != null) {
         onFailure(failure, now);
-      } else if (batch.isWhole() && batch.end() < nextOffset) {
+      } else if (batch.isSnapshot() && batch.end() < nextOffset) {
         logger.atWarning().log(
             "%s",
             LogEvent.of("store.behind")
@@ -207,8 +207,8 @@
         retryAt = now + RETRY_MILLIS;
       } else {
         onReachable(now);
-        historyLost = historyLost && !batch.isWhole();
-        toBroadcast = Optional.of(batch.isWhole() ? batch : withoutRenewals(batch));
+        historyLost = historyLost && !batch.isSnapshot();
+        toBroadcast = Optional.of(batch.isSnapshot() ? batch : withoutRenewals(batch));
         applyBatch(batch, now);
       }
     }
@@ -276,7 +276,7 @@
     long outage = nextOffset == UNKNOWN_OFFSET ? 0 : gap;
     List<KeyedRecord> news = new ArrayList<>();
     batch.records().stream().filter(this::isNewer).forEach(news::add);
-    if (batch.isWhole()) {
+    if (batch.isSnapshot()) {
       keysMissingFrom(batch)
           .forEach(key -> news.add(new KeyedRecord(batch.end(), key, Optional.empty())));
     }
--- a/gateway/src/main/java/dev/ibishub/gateway/records/RecordMessages.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/records/RecordMessages.java
@@ -36,7 +36,7 @@
             .setTopic(topic)
             .setFrom(batch.from())
             .setEnd(batch.end())
-            .setWhole(batch.isWhole());
+            .setWhole(batch.isSnapshot());
     batch.records().forEach(record -> progress.addRecords(message(record)));
     return Frame.newBuilder().setRecordProgress(deflatedIfLarge(progress.build())).build();
   }
