--- a/runtime/src/main/java/dev/ibishub/runtime/CommandLine.java
+++ b/runtime/src/main/java/dev/ibishub/runtime/CommandLine.java
@@ -7,46 +7,47 @@
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
 
-/** The command line that entry and agent share: {@code --settings FILE}. */
+/** Parses the command line that the server processes share: {@code --settings FILE}. */
 public final class CommandLine {
-  /** Exit status for a wrong command line or wrong settings. */
+  /** Exit status for an invalid command line or invalid settings. */
   public static final int USAGE = 2;
 
-  /** The version that {@code --version} prints. */
+  /** Version that {@code --version} prints. */
   public static final String VERSION = "0.1.0";
 
   private CommandLine() {}
 
   /**
-   * Reads the command line; ends the process for {@code --help}, {@code --version} and mistakes.
+   * Returns the settings file that the command line names. Exits the process after {@code --help}
+   * and {@code --version}, and with {@link #USAGE} when the command line is invalid.
    *
-   * @param program the program's name
-   * @param purpose one sentence for the help
-   * @param arguments the command line
-   * @return the settings file
+   * @param program name of the program, for messages
+   * @param purpose one sentence that describes the program in the help
+   * @param arguments command-line arguments
+   * @return path of the settings file; not checked to exist
    */
   public static Path settingsFile(String program, String purpose, String[] arguments)
       throws IOException {
     OptionParser parser = new OptionParser();
-    OptionSpec<String> settings =
+    OptionSpec<String> settingsOption =
         parser.accepts("settings", "the settings file, JSON with comments").withRequiredArg();
     parser.accepts("help", "prints this page");
     parser.accepts("version", "prints the version");
-    OptionSet given = parse(parser, program, arguments);
-    if (given.has("help")) {
+    OptionSet options = parse(parser, program, arguments);
+    if (options.has("help")) {
       System.out.println(program + " --settings FILE\n" + purpose + "\n");
       parser.printHelpOn(System.out);
       System.exit(0);
     }
-    if (given.has("version")) {
+    if (options.has("version")) {
       System.out.println(program + " " + VERSION);
       System.exit(0);
     }
-    if (!given.has(settings)) {
+    if (!options.has(settingsOption)) {
       System.err.println(program + ": --settings FILE is missing; see " + program + " --help");
       System.exit(USAGE);
     }
-    return Path.of(given.valueOf(settings));
+    return Path.of(options.valueOf(settingsOption));
   }
 
   private static OptionSet parse(OptionParser parser, String program, String[] arguments) {
