--- a/runtime/src/main/java/dev/ibishub/runtime/LogEvent.java
+++ b/runtime/src/main/java/dev/ibishub/runtime/LogEvent.java
@@ -7,8 +7,8 @@
 import java.util.stream.Collectors;
 
 /**
- * One event for the log: a name and fields. Values are ids, numbers and codes; secrets and prompt
- * text never go in. Immutable.
+ * A structured log event: a name and fields. Values are ids, numbers and codes; never secrets or
+ * prompt text. Immutable.
  *
  * <pre>{@code
  * logger.atInfo().log("%s", LogEvent.of("request.finished").request(id).code(ResultCode.OK));
@@ -22,32 +22,32 @@
   }
 
   /**
-   * Starts an event.
+   * Creates an event without further fields.
    *
-   * @param name words with dots, such as {@code request.finished}
+   * @param name dotted name, such as {@code request.finished}
    */
   public static LogEvent of(String name) {
     return new LogEvent(Map.of()).with("event", name);
   }
 
-  /** Returns the event with one more field. */
+  /** Returns a copy of the event with one more field; replaces a field of the same key. */
   public LogEvent with(String key, Object value) {
-    Map<String, String> more = new LinkedHashMap<>(fields);
-    more.put(key, String.valueOf(value));
-    return new LogEvent(more);
+    Map<String, String> extended = new LinkedHashMap<>(fields);
+    extended.put(key, String.valueOf(value));
+    return new LogEvent(extended);
   }
 
-  /** Returns the event with the id of the request that it belongs to. */
+  /** Returns a copy of the event with the id of the request that it concerns. */
   public LogEvent request(String requestId) {
     return with("request", requestId);
   }
 
-  /** Returns the event with a result code, as number and name. */
+  /** Returns a copy of the event with a result code, as number and as name. */
   public LogEvent code(ResultCode code) {
     return with("code", code.number()).with("result", code.name());
   }
 
-  /** Returns the fields in the form that {@link LogSetup} was given. */
+  /** Formats the fields in the log format that {@link LogSetup} was configured with. */
   @Override
   public String toString() {
     return LogSetup.isJson() ? json(fields) : keyValues(fields);
@@ -61,14 +61,14 @@
 
   static String keyValues(Map<String, String> fields) {
     return fields.entrySet().stream()
-        .map(field -> field.getKey() + "=" + bareOrQuoted(field.getValue()))
+        .map(field -> field.getKey() + "=" + quotedIfNeeded(field.getValue()))
         .collect(Collectors.joining(" "));
   }
 
-  private static String bareOrQuoted(String value) {
-    boolean bare =
+  private static String quotedIfNeeded(String value) {
+    boolean needsNoQuotes =
         !value.isEmpty() && value.chars().allMatch(c -> c > ' ' && c != '"' && c != '=' && c < 127);
-    return bare ? value : quoted(value);
+    return needsNoQuotes ? value : quoted(value);
   }
 
   private static String quoted(String value) {
--- a/runtime/src/main/java/dev/ibishub/runtime/LogSetup.java
+++ b/runtime/src/main/java/dev/ibishub/runtime/LogSetup.java
@@ -14,17 +14,17 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Sends the log to standard error, one line an event, as key=value or as JSON. */
+/** Configures logging for the process: one line per event, as key=value pairs or as JSON. */
 public final class LogSetup {
   private static volatile boolean json;
 
   private LogSetup() {}
 
   /**
-   * Sets the log up for the whole process.
+   * Sends the log of the whole process to standard error. Writing blocks the logging thread.
    *
-   * @param format {@code key-value} or {@code json}
-   * @param process name of this process, put on each line
+   * @param format {@code json}; any other value means {@code key-value}
+   * @param process name of this process, written on each line
    */
   public static void configure(String format, String process) {
     json = format.equals("json");
@@ -38,9 +38,10 @@
   }
 
   /**
-   * Sets the log up to go to standard output as JSON, without ever holding up who logs.
+   * Sends the log of the whole process to standard output as JSON through a bounded queue, so that
+   * logging never blocks. Lines that do not fit in the queue are dropped.
    *
-   * @param process name of this process, put on each line
+   * @param process name of this process, written on each line
    */
   public static void configureQueued(String process) {
     json = true;
@@ -65,40 +66,45 @@
     }
 
     @Override
-    public String format(LogRecord entry) {
-      Map<String, String> head = new LinkedHashMap<>();
-      head.put("time", entry.getInstant().toString());
-      head.put("level", entry.getLevel().getName());
-      head.put("process", process);
-      Map<String, String> tail = new LinkedHashMap<>();
-      if (entry.getThrown() != null) {
-        tail.put("trace", trace(entry.getThrown()));
+    public String format(LogRecord logRecord) {
+      Map<String, String> leading = new LinkedHashMap<>();
+      leading.put("time", logRecord.getInstant().toString());
+      leading.put("level", logRecord.getLevel().getName());
+      leading.put("process", process);
+      Map<String, String> trailing = new LinkedHashMap<>();
+      if (logRecord.getThrown() != null) {
+        trailing.put("trace", stackTrace(logRecord.getThrown()));
       }
-      String message = formatMessage(entry);
-      return json ? jsonLine(head, message, tail) : keyValueLine(head, message, tail);
+      String message = formatMessage(logRecord);
+      return json ? jsonLine(leading, message, trailing) : keyValueLine(leading, message, trailing);
     }
 
     private static String keyValueLine(
-        Map<String, String> head, String message, Map<String, String> tail) {
+        Map<String, String> leading, String message, Map<String, String> trailing) {
       String body =
           message.startsWith("event=") ? message : LogEvent.keyValues(Map.of("message", message));
-      String end = tail.isEmpty() ? "" : " " + LogEvent.keyValues(tail);
-      return LogEvent.keyValues(head) + " " + body + end + "\n";
+      String suffix = trailing.isEmpty() ? "" : " " + LogEvent.keyValues(trailing);
+      return LogEvent.keyValues(leading) + " " + body + suffix + "\n";
     }
 
     private static String jsonLine(
-        Map<String, String> head, String message, Map<String, String> tail) {
+        Map<String, String> leading, String message, Map<String, String> trailing) {
       String body =
           message.startsWith("{\"event\":") ? message : LogEvent.json(Map.of("message", message));
-      String end = tail.isEmpty() ? "" : "," + inner(LogEvent.json(tail));
-      return "{" + inner(LogEvent.json(head)) + "," + inner(body) + end + "}\n";
+      String suffix = trailing.isEmpty() ? "" : "," + withoutBraces(LogEvent.json(trailing));
+      return "{"
+          + withoutBraces(LogEvent.json(leading))
+          + ","
+          + withoutBraces(body)
+          + suffix
+          + "}\n";
     }
 
-    private static String inner(String object) {
+    private static String withoutBraces(String object) {
       return object.substring(1, object.length() - 1);
     }
 
-    private static String trace(Throwable thrown) {
+    private static String stackTrace(Throwable thrown) {
       StringWriter text = new StringWriter();
       thrown.printStackTrace(new PrintWriter(text));
       return text.toString();
--- a/runtime/src/test/java/dev/ibishub/runtime/LogEventTest.java
+++ b/runtime/src/test/java/dev/ibishub/runtime/LogEventTest.java
@@ -8,12 +8,12 @@
 
 class LogEventTest {
   @AfterEach
-  void backToKeyValue() {
+  void restoreKeyValueFormat() {
     LogSetup.configure("key-value", "test");
   }
 
   @Test
-  void keyValueLineQuotesWhatWouldSplit() {
+  void quotesValueWithSpaceInKeyValueFormat() {
     LogEvent event =
         LogEvent.of("request.finished").request("r-1").code(ResultCode.OK).with("by", "a b");
 
@@ -21,7 +21,7 @@
   }
 
   @Test
-  void jsonLineEscapesValues() {
+  void escapesQuotesAndLineBreaksInJson() {
     LogSetup.configure("json", "test");
 
     assertThat(LogEvent.of("x").with("detail", "say \"no\"\n"))
