--- a/runtime/src/main/java/dev/ibishub/runtime/QueuedLineHandler.java
+++ b/runtime/src/main/java/dev/ibishub/runtime/QueuedLineHandler.java
@@ -11,14 +11,15 @@
 import java.util.logging.LogRecord;
 
 /**
- * Writes log lines from a thread of its own. A reader of the log that is slow or stands still fills
- * the queue; further lines are then dropped and counted, and no request waits for it. Thread-safe.
+ * Writes log lines asynchronously from a bounded queue, on a thread of its own. When the reader of
+ * the log is slow or stalled and the queue is full, further lines are dropped and counted, so that
+ * logging never blocks a request. Thread-safe.
  */
 final class QueuedLineHandler extends Handler {
-  /** Lines that may wait; some 400 KB. */
-  static final int MOST_WAITING = 2_048;
+  /** Capacity of the queue, in lines; about 400 KB. */
+  static final int MAXIMUM_QUEUED_LINES = 2_048;
 
-  private final BlockingQueue<String> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
+  private final BlockingQueue<String> queue = new ArrayBlockingQueue<>(MAXIMUM_QUEUED_LINES);
   private final AtomicLong dropped = new AtomicLong();
   private final OutputStream output;
 
@@ -27,7 +28,7 @@
     setFormatter(formatter);
   }
 
-  /** Creates a handler and starts its thread. */
+  /** Creates a handler and starts its writer thread. */
   static QueuedLineHandler start(OutputStream output, Formatter formatter) {
     QueuedLineHandler handler = new QueuedLineHandler(output, formatter);
     Thread writer = new Thread(handler::write, "log-writer");
@@ -37,13 +38,13 @@
   }
 
   @Override
-  public void publish(LogRecord entry) {
-    if (isLoggable(entry) && !waiting.offer(getFormatter().format(entry))) {
+  public void publish(LogRecord logRecord) {
+    if (isLoggable(logRecord) && !queue.offer(getFormatter().format(logRecord))) {
       dropped.incrementAndGet();
     }
   }
 
-  /** Returns how many lines were dropped so far. */
+  /** Returns the number of lines dropped so far. */
   long dropped() {
     return dropped.get();
   }
@@ -58,20 +59,21 @@
     long reported = 0;
     try {
       while (true) {
-        output.write(waiting.take().getBytes(StandardCharsets.UTF_8));
-        long lost = dropped.get();
-        if (lost > reported) {
-          String line = LogEvent.of("log.dropped").with("lines", lost - reported) + "\n";
+        output.write(queue.take().getBytes(StandardCharsets.UTF_8));
+        long droppedSoFar = dropped.get();
+        if (droppedSoFar > reported) {
+          String line = LogEvent.of("log.dropped").with("lines", droppedSoFar - reported) + "\n";
           output.write(line.getBytes(StandardCharsets.UTF_8));
-          reported = lost;
+          reported = droppedSoFar;
         }
-        if (waiting.isEmpty()) {
+        if (queue.isEmpty()) {
           output.flush();
         }
       }
     } catch (IOException e) {
-      // Nobody reads the log any more; there is no other place to say so. Lines are still counted.
-      waiting.clear();
+      // The output is closed and there is nowhere else to report it. The writer ends; once the
+      // queue is full again, further lines are only counted as dropped.
+      queue.clear();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
