--- a/runtime/src/test/java/dev/ibishub/runtime/StartupTest.java
+++ b/runtime/src/test/java/dev/ibishub/runtime/StartupTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 
 final class StartupTest {
-  /** A program with a thread that never ends and a start that fails. */
+  /** A program whose start fails while another of its threads runs for ever. */
   static final class FailingProgram {
     public static void main(String[] arguments) {
       new Thread(FailingProgram::waitForever).start();
@@ -31,11 +31,11 @@
     }
   }
 
-  // A target gets no requests until somebody ends its agent by hand. The agent's port was taken;
-  // its
-  // main thread ended with that, and the others kept the process alive.
+  // Guards against an agent that stays alive without serving: its port was in use, its main thread
+  // ended with the exception, and the remaining threads kept the process running, so that its
+  // target got no requests until the agent was stopped by hand.
   @Test
-  void processThatCannotStartEndsThoughItsThreadsGoOn() throws IOException, InterruptedException {
+  void exitsWhenStartFailsWhileOtherThreadsRun() throws IOException, InterruptedException {
     Process process =
         new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -55,7 +55,7 @@
   }
 
   @Test
-  void returnsWhatWasStarted() {
+  void returnsResultOfSuccessfulStart() {
     assertThat(Startup.orEnd(() -> "an entry")).isEqualTo("an entry");
   }
 }
