--- a/runtime/src/main/java/dev/ibishub/runtime/StopSignals.java
+++ b/runtime/src/main/java/dev/ibishub/runtime/StopSignals.java
@@ -5,49 +5,52 @@
 import java.util.stream.Stream;
 
 /**
- * Stops a process as its operators expect: the first SIGTERM or SIGINT begins a graceful stop, a
- * second one ends the process at once.
+ * Handles the signals of a process: the first SIGTERM or SIGINT starts a graceful stop, a second
+ * one exits at once, and SIGHUP reloads the settings.
  */
 public final class StopSignals {
-  /** Exit status after a second signal. */
-  public static final int STOPPED_AT_ONCE = 130;
+  /** Exit status after a second stop signal. */
+  public static final int FORCED_STOP_STATUS = 130;
 
   private StopSignals() {}
 
   /**
-   * Listens for the signals. A shutdown hook would not do: the JVM ignores a second signal while
-   * hooks run, so that a process whose graceful stop hangs could only be killed.
+   * Registers the handler of SIGTERM and SIGINT. A shutdown hook is not enough: the JVM ignores a
+   * second signal while hooks run, so a process whose graceful stop hangs could only be killed.
    *
-   * @param stop ends the process gracefully; runs once, on a thread of its own
+   * @param stop stops the process gracefully; runs once, on a thread of its own
    */
   public static void onStop(Runnable stop) {
-    AtomicInteger received = new AtomicInteger();
+    AtomicInteger signalCount = new AtomicInteger();
     Runnable onSignal =
         () -> {
-          if (received.getAndIncrement() == 0) {
+          if (signalCount.getAndIncrement() == 0) {
             new Thread(stop, "graceful-stop").start();
             return;
           }
-          Runtime.getRuntime().halt(STOPPED_AT_ONCE);
+          Runtime.getRuntime().halt(FORCED_STOP_STATUS);
         };
-    Stream.of("TERM", "INT").forEach(name -> handle(name, onSignal));
+    Stream.of("TERM", "INT").forEach(name -> register(name, onSignal));
   }
 
   /**
-   * Listens for SIGHUP, which tells a process to read its settings again.
+   * Registers the handler of SIGHUP, which tells a process to read its settings again.
    *
-   * @param reload runs once for each signal, on the JVM's signal thread
+   * @param reload runs once per signal, on the JVM's signal thread
    */
   public static void onReload(Runnable reload) {
-    handle("HUP", reload);
+    register("HUP", reload);
   }
 
-  /** Uses sun.misc.Signal by name: the class is supported, but to name it is a compiler warning. */
-  private static void handle(String name, Runnable onSignal) {
+  /**
+   * Uses sun.misc.Signal by reflection: the class is supported, but a direct reference to it causes
+   * a compiler warning.
+   */
+  private static void register(String name, Runnable onSignal) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
-      Object running =
+      Object signalHandler =
           Proxy.newProxyInstance(
               StopSignals.class.getClassLoader(),
               new Class<?>[] {handler},
@@ -57,7 +60,7 @@
               });
       signal
           .getMethod("handle", signal, handler)
-          .invoke(null, signal.getConstructor(String.class).newInstance(name), running);
+          .invoke(null, signal.getConstructor(String.class).newInstance(name), signalHandler);
     } catch (ReflectiveOperationException e) {
       throw new IllegalStateException("cannot listen for SIG" + name, e);
     }
