--- a/runtime/src/main/java/dev/ibishub/runtime/package-info.java
+++ b/runtime/src/main/java/dev/ibishub/runtime/package-info.java
@@ -1,2 +1,2 @@
-/** What each process needs to run: structured logs, stop signals and the metrics page. */
+/** Process support: command line, structured logs, signals, startup and monitoring endpoints. */
 package dev.ibishub.runtime;
