--- a/wire/src/main/java/dev/ibishub/wire/AnswerEnds.java
+++ b/wire/src/main/java/dev/ibishub/wire/AnswerEnds.java
@@ -11,11 +11,13 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** Translates the end of an answer between the core's record and the wire's message. */
+/**
+ * Converts the end of an answer between the record {@link AnswerEnd} and the message {@link End}.
+ */
 public final class AnswerEnds {
   private AnswerEnds() {}
 
-  /** Returns the message that ends an attempt. */
+  /** Converts a record to the message that ends the given attempt. */
   public static End toWire(String attemptId, AnswerEnd end) {
     return End.newBuilder()
         .setAttemptId(attemptId)
@@ -31,8 +33,8 @@
   }
 
   /**
-   * Returns the record of a message. A result code that this release does not know says nothing
-   * about whether the attempt ran, so it counts as {@code OUTCOME_UNKNOWN}.
+   * Converts a message to the record. An unknown result code, for example of a newer release, does
+   * not tell whether the attempt ran, so it becomes {@code OUTCOME_UNKNOWN}.
    */
   public static AnswerEnd fromWire(End end) {
     return new AnswerEnd(
@@ -48,14 +50,14 @@
         headersFromWire(end.getHeadersList()));
   }
 
-  /** Returns headers as the wire has them: one message for each value. */
+  /** Converts headers to messages, one per value. */
   public static List<Header> headersToWire(Map<String, List<String>> headers) {
     return headers.entrySet().stream()
         .flatMap(entry -> entry.getValue().stream().map(value -> header(entry.getKey(), value)))
         .toList();
   }
 
-  /** Returns headers by name, values in order. */
+  /** Groups header messages by name; the values of a name keep their order. */
   public static Map<String, List<String>> headersFromWire(List<Header> headers) {
     return headers.stream()
         .collect(
