--- a/wire/src/main/java/dev/ibishub/wire/ClaimHolder.java
+++ b/wire/src/main/java/dev/ibishub/wire/ClaimHolder.java
@@ -7,13 +7,16 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** Tells an entry, at the end of an attempt, which process claimed the call before. */
+/**
+ * Names, in a header of an attempt's end, the process that holds the claim on a call that may run
+ * only once. Used between agents and entries, behind ibishub's own interface.
+ */
 public final class ClaimHolder {
-  private static final String HEADER = "ibishub-claim-holder";
+  private static final String CLAIM_HOLDER_HEADER = "ibishub-claim-holder";
 
   private ClaimHolder() {}
 
-  /** Returns the end of an attempt whose call another process holds. */
+  /** Returns the end of an attempt that did not run because another process holds the claim. */
   public static AnswerEnd end(ProcessIncarnation holder) {
     return new AnswerEnd(
         ResultCode.ALREADY_RUNNING,
@@ -23,12 +26,12 @@
         Optional.empty(),
         0,
         0,
-        Map.of(HEADER, List.of(holder.process() + "/" + holder.incarnation())));
+        Map.of(CLAIM_HOLDER_HEADER, List.of(holder.process() + "/" + holder.incarnation())));
   }
 
-  /** Returns the process that an end names, if it names one. */
+  /** Returns the claim holder that an end names; empty when it has no such header. */
   public static Optional<ProcessIncarnation> of(AnswerEnd end) {
-    return end.headers().getOrDefault(HEADER, List.of()).stream()
+    return end.headers().getOrDefault(CLAIM_HOLDER_HEADER, List.of()).stream()
         .findFirst()
         .map(
             text -> {
