--- a/wire/src/main/java/dev/ibishub/wire/FrameHandler.java
+++ b/wire/src/main/java/dev/ibishub/wire/FrameHandler.java
@@ -14,27 +14,30 @@
 import java.io.IOException;
 import java.util.function.Consumer;
 
-/** Handshake, heartbeat and hand-over of frames for one connection. */
+/** Performs the handshake and heartbeat of one connection and delivers its other frames. */
 final class FrameHandler extends SimpleChannelInboundHandler<Frame> {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private final Identity identity;
   private final LinkListener listener;
-  private final boolean opener;
-  private final Consumer<Throwable> onRefused;
+  private final boolean initiator;
+  private final Consumer<Throwable> onHandshakeFailure;
   private Link link;
 
   FrameHandler(
-      Identity identity, LinkListener listener, boolean opener, Consumer<Throwable> onRefused) {
+      Identity identity,
+      LinkListener listener,
+      boolean initiator,
+      Consumer<Throwable> onHandshakeFailure) {
     this.identity = identity;
     this.listener = listener;
-    this.opener = opener;
-    this.onRefused = onRefused;
+    this.initiator = initiator;
+    this.onHandshakeFailure = onHandshakeFailure;
   }
 
   @Override
   public void channelActive(ChannelHandlerContext context) {
-    if (opener) {
+    if (initiator) {
       context.writeAndFlush(Frame.newBuilder().setHello(identity.hello()).build());
     }
   }
@@ -46,7 +49,7 @@
       case HELLO_REPLY -> onHelloReply(context, frame.getHelloReply());
       case PING -> context.writeAndFlush(pong(frame.getPing()));
       case PONG -> {}
-      default -> handOver(context, frame);
+      default -> deliver(context, frame);
     }
   }
 
@@ -57,8 +60,8 @@
       return;
     }
     if (idle.state() == IdleState.READER_IDLE) {
-      // A peer that was stopped, or cut off without a reset, keeps its connection open for ever.
-      // It shows as silence although pings go out; closing here turns it into an ordinary loss.
+      // The connection to a peer that is frozen, or cut off without a TCP reset, stays open for
+      // ever, but nothing arrives, not even pongs. Closing it makes this an ordinary disconnect.
       context.close();
       return;
     }
@@ -68,7 +71,7 @@
   @Override
   public void channelInactive(ChannelHandlerContext context) {
     if (link == null) {
-      onRefused.accept(new IOException("connection closed during the handshake"));
+      onHandshakeFailure.accept(new IOException("connection closed during the handshake"));
       return;
     }
     listener.onClose(link);
@@ -81,7 +84,7 @@
   }
 
   private void onHello(ChannelHandlerContext context, Hello hello) {
-    if (opener || link != null) {
+    if (initiator || link != null) {
       context.close();
       return;
     }
@@ -97,14 +100,14 @@
       return;
     }
     context.writeAndFlush(helloReply(ResultCode.OK, ""));
-    open(
+    openLink(
         context,
         new Link.Peer(
             hello.getProcessId(), hello.getRole(), hello.getZone(), hello.getIncarnation()));
   }
 
   private void onHelloReply(ChannelHandlerContext context, HelloReply reply) {
-    if (!opener || link != null) {
+    if (!initiator || link != null) {
       context.close();
       return;
     }
@@ -115,15 +118,15 @@
       context.close();
       return;
     }
-    open(context, Link.Peer.of(reply));
+    openLink(context, Link.Peer.of(reply));
   }
 
-  private void open(ChannelHandlerContext context, Link.Peer peer) {
+  private void openLink(ChannelHandlerContext context, Link.Peer peer) {
     link = Link.over(context.channel(), peer);
     listener.onOpen(link);
   }
 
-  private void handOver(ChannelHandlerContext context, Frame frame) {
+  private void deliver(ChannelHandlerContext context, Frame frame) {
     if (link == null) {
       context.close();
       return;
--- a/wire/src/main/java/dev/ibishub/wire/WireTransport.java
+++ b/wire/src/main/java/dev/ibishub/wire/WireTransport.java
@@ -27,7 +27,7 @@
 import java.util.function.Consumer;
 
 /**
- * Opens and accepts links. One instance serves a whole process; it is thread-safe.
+ * Opens and accepts links. One instance serves a whole process. Thread-safe.
  *
  * <pre>{@code
  * WireTransport transport = WireTransport.create(identity, Optional.empty());
@@ -36,19 +36,19 @@
  * }</pre>
  */
 public final class WireTransport implements AutoCloseable {
-  /** A ping goes out after this much silence on the sending side, in milliseconds. */
-  static final long HEARTBEAT_MILLIS = 500;
+  /** Time without sending after which a ping is sent, in milliseconds. */
+  static final long HEARTBEAT_INTERVAL_MILLIS = 500;
 
-  /** A peer that sent nothing for this long counts as lost, in milliseconds. */
-  static final long SILENCE_MILLIS = 2_000;
+  /** Time without receiving after which the link is closed, in milliseconds. */
+  static final long RECEIVE_TIMEOUT_MILLIS = 2_000;
 
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-  /** A longer frame closes the link, so that no peer can make this process fill its memory. */
+  /** A longer frame closes the link, so that no peer can exhaust the memory of this process. */
   static final int MAXIMUM_FRAME_BYTES = 16 << 20;
 
-  private static final int MOST_FLUSHES_HELD = 64;
-  private static final int LENGTH_BYTES = 4;
+  private static final int MAXIMUM_CONSOLIDATED_FLUSHES = 64;
+  private static final int LENGTH_FIELD_BYTES = 4;
   private static final int IO_THREADS = 4;
 
   private final Identity identity;
@@ -62,10 +62,10 @@
   }
 
   /**
-   * Creates a transport; threads are started when it is first used.
+   * Creates a transport with I/O threads of its own, which start at the first use.
    *
-   * @param identity who this process is
-   * @param tls the certificates, or empty for plain TCP
+   * @param identity identity that this process presents to its peers
+   * @param tls the TLS contexts, or empty for plain TCP
    */
   public static WireTransport create(Identity identity, Optional<TlsContexts> tls) {
     return new WireTransport(
@@ -73,22 +73,22 @@
   }
 
   /**
-   * Creates a transport without TLS on threads that the process has already.
+   * Creates a transport without TLS on an existing event loop group.
    *
-   * @param identity who this process is
-   * @param group the threads; closed with the transport
+   * @param identity identity that this process presents to its peers
+   * @param group the I/O threads; shut down when the transport is closed
    */
   public static WireTransport sharing(Identity identity, EventLoopGroup group) {
     return new WireTransport(identity, Optional.empty(), group);
   }
 
   /**
-   * Accepts links.
+   * Starts to accept links.
    *
-   * @param host an IP number of this VM
-   * @param port the port, 0 for any that is free
-   * @param listener takes what happens on the links
-   * @return the port listened on; fails with {@code TARGET_UNREACHABLE} when it cannot be had
+   * @param host an IP address of this VM
+   * @param port the port, or 0 for any free one
+   * @param listener receives the events of the accepted links
+   * @return the bound port; fails with {@code TARGET_UNREACHABLE} when the port cannot be bound
    */
   public CompletableFuture<Integer> listen(String host, int port, LinkListener listener) {
     ServerBootstrap bootstrap =
@@ -97,31 +97,32 @@
             .channel(NioServerSocketChannel.class)
             .option(ChannelOption.SO_REUSEADDR, true)
             .childOption(ChannelOption.TCP_NODELAY, true)
-            .childHandler(pipeline(false, listener, refused -> {}));
-    CompletableFuture<Integer> bound = new CompletableFuture<>();
+            .childHandler(pipeline(false, listener, cause -> {}));
+    CompletableFuture<Integer> boundPort = new CompletableFuture<>();
     var future = bootstrap.bind(new InetSocketAddress(host, port));
     future.addListener(
         result -> {
           if (result.isSuccess()) {
-            bound.complete(((InetSocketAddress) future.channel().localAddress()).getPort());
+            boundPort.complete(((InetSocketAddress) future.channel().localAddress()).getPort());
             return;
           }
-          bound.completeExceptionally(unreachable(host, port, result.cause()));
+          boundPort.completeExceptionally(unreachable(host, port, result.cause()));
         });
-    return bound;
+    return boundPort;
   }
 
   /**
-   * Opens a link. Success shows as {@link LinkListener#onOpen}.
+   * Opens a link. On success {@link LinkListener#onOpen} is called before the result completes.
    *
-   * @param host an IP number
-   * @param port the peer's port
-   * @param listener takes what happens on the link
-   * @return done when the handshake is over; fails with {@code TARGET_UNREACHABLE}
+   * @param host IP address of the peer
+   * @param port port of the peer
+   * @param listener receives the events of the link
+   * @return the link once its handshake is complete; fails with {@code TARGET_UNREACHABLE} when the
+   *     connection or the handshake fails
    */
   public CompletableFuture<Link> connect(String host, int port, LinkListener listener) {
     CompletableFuture<Link> opened = new CompletableFuture<>();
-    Consumer<Throwable> onRefused =
+    Consumer<Throwable> onFailure =
         cause -> opened.completeExceptionally(unreachable(host, port, cause));
     LinkListener completing = new CompletingListener(listener, opened);
     new Bootstrap()
@@ -129,12 +130,12 @@
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
-        .handler(pipeline(true, completing, onRefused))
+        .handler(pipeline(true, completing, onFailure))
         .connect(new InetSocketAddress(host, port))
         .addListener(
             result -> {
               if (!result.isSuccess()) {
-                onRefused.accept(result.cause());
+                onFailure.accept(result.cause());
               }
             });
     return opened;
@@ -146,27 +147,28 @@
   }
 
   private ChannelInitializer<Channel> pipeline(
-      boolean opener, LinkListener listener, Consumer<Throwable> onRefused) {
+      boolean initiator, LinkListener listener, Consumer<Throwable> onFailure) {
     return new ChannelInitializer<>() {
       @Override
       protected void initChannel(Channel channel) {
         Optional<SslContext> context =
-            tls.map(contexts -> opener ? contexts.client() : contexts.server());
+            tls.map(contexts -> initiator ? contexts.client() : contexts.server());
         context.ifPresent(
             present -> channel.pipeline().addLast(present.newHandler(channel.alloc())));
         channel
             .pipeline()
             .addLast(
-                new IdleStateHandler(SILENCE_MILLIS, HEARTBEAT_MILLIS, 0, TimeUnit.MILLISECONDS))
-            // Many small frames leave at once under load; one system call then carries them all.
-            .addLast(new FlushConsolidationHandler(MOST_FLUSHES_HELD, true))
+                new IdleStateHandler(
+                    RECEIVE_TIMEOUT_MILLIS, HEARTBEAT_INTERVAL_MILLIS, 0, TimeUnit.MILLISECONDS))
+            // Under load many small frames are sent together; this saves system calls.
+            .addLast(new FlushConsolidationHandler(MAXIMUM_CONSOLIDATED_FLUSHES, true))
             .addLast(
                 new LengthFieldBasedFrameDecoder(
-                    MAXIMUM_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
+                    MAXIMUM_FRAME_BYTES, 0, LENGTH_FIELD_BYTES, 0, LENGTH_FIELD_BYTES))
             .addLast(new ProtobufDecoder(Frame.getDefaultInstance()))
-            .addLast(new LengthFieldPrepender(LENGTH_BYTES))
+            .addLast(new LengthFieldPrepender(LENGTH_FIELD_BYTES))
             .addLast(new ProtobufEncoder())
-            .addLast(new FrameHandler(identity, listener, opener, onRefused));
+            .addLast(new FrameHandler(identity, listener, initiator, onFailure));
       }
     };
   }
@@ -179,23 +181,23 @@
     return failure;
   }
 
-  /** Completes a future on the first call and passes all on. */
-  private record CompletingListener(LinkListener next, CompletableFuture<Link> opened)
+  /** Completes a future when the link opens, and forwards all calls. */
+  private record CompletingListener(LinkListener delegate, CompletableFuture<Link> opened)
       implements LinkListener {
     @Override
     public void onOpen(Link link) {
-      next.onOpen(link);
+      delegate.onOpen(link);
       opened.complete(link);
     }
 
     @Override
     public void onFrame(Link link, Frame frame) {
-      next.onFrame(link, frame);
+      delegate.onFrame(link, frame);
     }
 
     @Override
     public void onClose(Link link) {
-      next.onClose(link);
+      delegate.onClose(link);
     }
   }
 }
--- a/wire/src/test/java/dev/ibishub/wire/WireTransportTest.java
+++ b/wire/src/test/java/dev/ibishub/wire/WireTransportTest.java
@@ -22,7 +22,7 @@
       WireTransport.create(new Identity("entry-1", "entry", "vake", 7), Optional.empty());
   private final WireTransport agent =
       WireTransport.create(new Identity("agent-1", "agent", "didube", 9), Optional.empty());
-  private final Recorder recorder = new Recorder();
+  private final RecordingListener agentListener = new RecordingListener();
 
   @AfterEach
   void closeTransports() {
@@ -31,27 +31,27 @@
   }
 
   @Test
-  void linkTellsEachSideWhoTheOtherIs() throws Exception {
-    Link opened = open();
+  void handshakeGivesEachSideTheIdentityOfItsPeer() throws Exception {
+    Link opened = openLink();
 
     assertThat(opened.peer()).isEqualTo(new Link.Peer("agent-1", "agent", "didube", 9));
-    assertThat(recorder.opened.poll(10, TimeUnit.SECONDS).peer())
+    assertThat(agentListener.opened.poll(10, TimeUnit.SECONDS).peer())
         .isEqualTo(new Link.Peer("entry-1", "entry", "vake", 7));
   }
 
   @Test
-  void frameArrivesAsSent() throws Exception {
+  void deliversFrameUnchanged() throws Exception {
     Frame frame =
         Frame.newBuilder().setCredit(Credit.newBuilder().setAttemptId("a").setChunks(3)).build();
 
-    assertThat(open().offer(frame)).isTrue();
+    assertThat(openLink().offer(frame)).isTrue();
 
-    assertThat(recorder.frames.poll(10, TimeUnit.SECONDS)).isEqualTo(frame);
+    assertThat(agentListener.frames.poll(10, TimeUnit.SECONDS)).isEqualTo(frame);
   }
 
   @Test
-  void closedLinkSaysThatAFrameWasSurelyNotSent() throws Exception {
-    Link opened = open();
+  void offerReturnsFalseOnClosedLink() throws Exception {
+    Link opened = openLink();
     opened.close();
     opened.closed().get(10, TimeUnit.SECONDS);
 
@@ -59,33 +59,34 @@
   }
 
   @Test
-  void peerThatSpeaksAnotherProtocolIsDisconnected() throws Exception {
-    int port = agent.listen("127.0.0.1", 0, recorder).get(10, TimeUnit.SECONDS);
+  void disconnectsPeerThatSpeaksAnotherProtocol() throws Exception {
+    int port = agent.listen("127.0.0.1", 0, agentListener).get(10, TimeUnit.SECONDS);
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       socket.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       InputStream answer = socket.getInputStream();
 
       assertThat(answer.read()).isEqualTo(-1);
     }
-    assertThat(recorder.opened).isEmpty();
+    assertThat(agentListener.opened).isEmpty();
   }
 
   @Test
-  void portWithNobodyBehindItFailsAsUnreachable() throws Exception {
-    int port = agent.listen("127.0.0.1", 0, recorder).get(10, TimeUnit.SECONDS);
+  void connectFailsWhenNothingListensOnPort() throws Exception {
+    int port = agent.listen("127.0.0.1", 0, agentListener).get(10, TimeUnit.SECONDS);
     agent.close();
 
     assertThatThrownBy(
-            () -> entry.connect("127.0.0.1", port, new Recorder()).get(10, TimeUnit.SECONDS))
+            () ->
+                entry.connect("127.0.0.1", port, new RecordingListener()).get(10, TimeUnit.SECONDS))
         .hasCauseInstanceOf(ResultException.class);
   }
 
-  private Link open() throws Exception {
-    int port = agent.listen("127.0.0.1", 0, recorder).get(10, TimeUnit.SECONDS);
-    return entry.connect("127.0.0.1", port, new Recorder()).get(10, TimeUnit.SECONDS);
+  private Link openLink() throws Exception {
+    int port = agent.listen("127.0.0.1", 0, agentListener).get(10, TimeUnit.SECONDS);
+    return entry.connect("127.0.0.1", port, new RecordingListener()).get(10, TimeUnit.SECONDS);
   }
 
-  private static final class Recorder implements LinkListener {
+  private static final class RecordingListener implements LinkListener {
     final BlockingQueue<Link> opened = new LinkedBlockingQueue<>();
     final BlockingQueue<Frame> frames = new LinkedBlockingQueue<>();
 
