--- a/wire/src/main/java/dev/ibishub/wire/Identity.java
+++ b/wire/src/main/java/dev/ibishub/wire/Identity.java
@@ -6,15 +6,15 @@
 import java.util.Objects;
 
 /**
- * Who this process is towards its peers.
+ * The identity that this process presents to its peers in the handshake.
  *
- * @param processId its name in the settings
- * @param role {@code entry} or {@code agent}
- * @param zone its failure domain
- * @param incarnation drawn anew at each start, so that peers tell a restart from a reconnect
+ * @param processId name of the process in the settings
+ * @param role kind of the process, {@code entry} or {@code agent}
+ * @param zone failure domain of the process
+ * @param incarnation drawn anew at each start, so that peers can tell a restart from a reconnect
  */
 public record Identity(String processId, String role, String zone, long incarnation) {
-  /** The version of the protocol that this release speaks. */
+  /** Protocol version of this release; peers of another version are rejected. */
   public static final int PROTOCOL_VERSION = 1;
 
   public Identity {
--- a/wire/src/main/java/dev/ibishub/wire/Link.java
+++ b/wire/src/main/java/dev/ibishub/wire/Link.java
@@ -6,14 +6,11 @@
 import java.util.Objects;
 import java.util.concurrent.CompletableFuture;
 
-/**
- * One open connection between two of the project's processes, after both sides have said who they
- * are. Thread-safe.
- */
+/** One connection between two ibishub processes whose handshake is complete. Thread-safe. */
 public final class Link {
   /**
-   * Bytes that may wait for a peer that reads slowly. Beyond it {@link #offer} refuses, so that a
-   * frozen peer costs this much memory and no more.
+   * Limit of the outbound buffer, in bytes. While it is exceeded, {@link #offer} rejects frames, so
+   * that a slow or frozen peer holds only a bounded amount of memory.
    */
   static final int MAXIMUM_PENDING_BYTES = 8 << 20;
 
@@ -25,12 +22,12 @@
     this.peer = peer;
   }
 
-  /** Returns a link over a channel whose handshake is over. */
+  /** Returns a link over a channel whose handshake is complete. */
   public static Link over(Channel channel, Peer peer) {
     return new Link(channel, peer);
   }
 
-  /** Who stands at the other end. */
+  /** Returns the identity that the peer gave in the handshake. */
   public Peer peer() {
     return peer;
   }
@@ -40,15 +37,13 @@
   }
 
   /**
-   * Sends a frame.
+   * Sends a frame if the link is open and its outbound buffer is below the limit.
    *
-   * @param frame the frame
-   * @return false when the frame was surely not sent, as the link is closed or the peer takes
-   *     nothing; true says nothing about arrival
+   * @return false when the frame was certainly not sent; true does not mean that it arrives
    */
   public boolean offer(Frame frame) {
-    // A frame for a closed channel never becomes bytes, so "false" is proof that the peer cannot
-    // have seen it. Once handed to the channel it may arrive even if the write later fails.
+    // A frame that was not handed to the channel cannot reach the peer, so false is definite. Once
+    // handed over, it may arrive even if the write fails later.
     if (!channel.isActive() || pendingBytes() > MAXIMUM_PENDING_BYTES) {
       return false;
     }
@@ -56,17 +51,19 @@
     return true;
   }
 
-  /** Whether all that was offered has been handed to the operating system. */
+  /**
+   * Returns whether all accepted frames were handed to the operating system, or the link closed.
+   */
   public boolean isFlushed() {
     return !channel.isActive() || pendingBytes() == 0;
   }
 
-  /** Closes the link; frames already offered may or may not arrive. */
+  /** Closes the link; frames accepted before may or may not arrive. */
   public void close() {
     channel.close();
   }
 
-  /** Done when the link has closed, whoever closed it. */
+  /** Returns a future that completes when the link has closed, from either side. */
   public CompletableFuture<Void> closed() {
     CompletableFuture<Void> done = new CompletableFuture<>();
     channel.closeFuture().addListener(future -> done.complete(null));
@@ -84,12 +81,12 @@
   }
 
   /**
-   * Who a process says it is.
+   * The identity that a peer gave in the handshake.
    *
-   * @param processId its name in the settings
-   * @param role {@code entry} or {@code agent}
-   * @param zone its failure domain
-   * @param incarnation drawn anew at each start
+   * @param processId name of the process in the settings
+   * @param role kind of the process, {@code entry} or {@code agent}
+   * @param zone failure domain of the process
+   * @param incarnation drawn anew at each start of the process
    */
   public record Peer(String processId, String role, String zone, long incarnation) {
     public Peer {
--- a/wire/src/main/java/dev/ibishub/wire/LinkListener.java
+++ b/wire/src/main/java/dev/ibishub/wire/LinkListener.java
@@ -3,16 +3,16 @@
 import dev.ibishub.wire.generated.Frame;
 
 /**
- * Takes what happens on links. Calls for one link come in order, on the link's I/O thread, and must
- * not block.
+ * Receives the events of links. The calls for one link are made in order on its I/O thread; they
+ * must not block.
  */
 public interface LinkListener {
-  /** The peer was accepted; frames may be sent. */
+  /** Called when the handshake has succeeded; frames may be sent from now on. */
   void onOpen(Link link);
 
-  /** A frame arrived. Handshake and heartbeat frames are not handed on. */
+  /** Called for each received frame other than those of handshake and heartbeat. */
   void onFrame(Link link, Frame frame);
 
-  /** The link is gone; no further call follows. */
+  /** Called when the link has closed; no further call follows. */
   void onClose(Link link);
 }
