--- a/wire/src/main/java/dev/ibishub/wire/TlsContexts.java
+++ b/wire/src/main/java/dev/ibishub/wire/TlsContexts.java
@@ -7,19 +7,19 @@
 import javax.net.ssl.SSLException;
 
 /**
- * Certificates of this process for both ends of a link. Each side shows a certificate and checks
- * the other's against the trust file.
+ * TLS contexts of this process, for mutual TLS: each side of a link presents a certificate and
+ * verifies the other's against the trust file.
  *
- * @param server for accepted links
- * @param client for opened links
+ * @param server used for accepted links
+ * @param client used for opened links
  */
 public record TlsContexts(SslContext server, SslContext client) {
   /**
-   * Reads PEM files.
+   * Reads the certificates and the key from PEM files.
    *
-   * @param certificate chain of this process
-   * @param key its private key in PKCS 8
-   * @param trust certificates that peers' chains must lead to
+   * @param certificate certificate chain of this process
+   * @param key private key of the certificate, in PKCS #8
+   * @param trust certificates of the authorities that peers' chains must lead to
    * @throws SSLException when a file cannot be read as PEM
    */
   public static TlsContexts read(Path certificate, Path key, Path trust) throws SSLException {
@@ -28,8 +28,8 @@
             .trustManager(trust.toFile())
             .clientAuth(ClientAuth.REQUIRE)
             .build();
-    // Processes are known by IP numbers that change nightly, so the certificate's names cannot be
-    // held against the address; the trust file names the project's own authority and nothing else.
+    // The IP addresses of peers change nightly, so the names in a certificate cannot be checked
+    // against them. The trust file names only ibishub's own certificate authority.
     SslContext client =
         SslContextBuilder.forClient()
             .keyManager(certificate.toFile(), key.toFile())
