--- a/cli/src/main/java/dev/ibishub/cli/ApiClient.java
+++ b/cli/src/main/java/dev/ibishub/cli/ApiClient.java
@@ -19,8 +19,8 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * Calls an entry by HTTP/1.1, once each: the launcher turns off the JDK client's own retries, as a
- * publication or a call that may not be repeated must not be sent twice.
+ * Sends HTTP/1.1 requests to an entry, each only once: the launcher disables the retries of the JDK
+ * client, as a publication or a non-idempotent call must not be sent twice.
  */
 final class ApiClient {
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -62,11 +62,11 @@
     if (!method.equals("GET")) {
       request.header("Content-Type", "application/json");
     }
-    CompletableFuture<HttpResponse<String>> answer =
+    CompletableFuture<HttpResponse<String>> pendingResponse =
         client.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
     try {
-      HttpResponse<String> response = await(answer, method + " " + path);
-      return new ApiReply(response.statusCode(), response.body(), json(response.body()));
+      HttpResponse<String> response = awaitResponse(pendingResponse, method + " " + path);
+      return new ApiReply(response.statusCode(), response.body(), parseOrMissing(response.body()));
     } catch (ExecutionException e) {
       throw failure(method, e.getCause());
     }
@@ -80,14 +80,15 @@
     }
   }
 
-  /** Waits and writes a progress line for each second, so that a long wait is no silence. */
-  private HttpResponse<String> await(CompletableFuture<HttpResponse<String>> answer, String what)
+  /** Waits for the response and prints a progress line every second. */
+  private HttpResponse<String> awaitResponse(
+      CompletableFuture<HttpResponse<String>> pendingResponse, String requestLine)
       throws ExecutionException {
     for (int seconds = 1; ; seconds++) {
       try {
-        return answer.get(1, TimeUnit.SECONDS);
+        return pendingResponse.get(1, TimeUnit.SECONDS);
       } catch (TimeoutException expected) {
-        progress.println(what + ": waiting, " + seconds + " s");
+        progress.println(requestLine + ": waiting, " + seconds + " s");
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         throw new CommandException(ExitCode.OUTCOME_UNKNOWN, "interrupted while waiting");
@@ -105,7 +106,7 @@
         ExitCode.OUTCOME_UNKNOWN, "no answer from " + url + ", it may have taken effect: " + cause);
   }
 
-  private static JsonNode json(String text) {
+  private static JsonNode parseOrMissing(String text) {
     try {
       return MAPPER.readTree(text);
     } catch (JsonProcessingException e) {
--- a/cli/src/main/java/dev/ibishub/cli/ApiReply.java
+++ b/cli/src/main/java/dev/ibishub/cli/ApiReply.java
@@ -3,24 +3,27 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What an entry answered.
+ * An entry's reply to a request.
  *
- * @param status the HTTP status
- * @param text the body as it came
- * @param json the body, or a missing node where it is no JSON
+ * @param status HTTP status code
+ * @param text the unparsed body
+ * @param json the parsed body, or a missing node when it is not JSON
  */
 record ApiReply(int status, String text, JsonNode json) {
-  private static final int FIRST_REFUSAL = 400;
-  private static final int FIRST_SERVER_FAULT = 500;
+  private static final int FIRST_ERROR_STATUS = 400;
+  private static final int FIRST_SERVER_ERROR_STATUS = 500;
 
+  /** Returns whether the entry answered with an error status. */
   boolean isRefusal() {
-    return status >= FIRST_REFUSAL;
+    return status >= FIRST_ERROR_STATUS;
   }
 
-  /** Tells whether what was asked for may have happened all the same. */
+  /** Returns whether the reply is an error but the request may have taken effect. */
   boolean isOutcomeUnknown() {
     String outcome = json.path("outcome").asText();
     return isRefusal()
-        && (outcome.isEmpty() ? status >= FIRST_SERVER_FAULT : outcome.equals("outcome unknown"));
+        && (outcome.isEmpty()
+            ? status >= FIRST_SERVER_ERROR_STATUS
+            : outcome.equals("outcome unknown"));
   }
 }
