--- a/cli/src/main/java/dev/ibishub/cli/Command.java
+++ b/cli/src/main/java/dev/ibishub/cli/Command.java
@@ -4,18 +4,23 @@
 import joptsimple.OptionParser;
 
 /**
- * One subcommand.
+ * A subcommand of the program.
  *
- * @param name as on the command line
- * @param summary one line for the help
- * @param options declares its options
- * @param action does it
+ * @param name name on the command line
+ * @param summary one-line description for the help
+ * @param options adds the subcommand's options to a parser
+ * @param action runs the subcommand
  */
 record Command(String name, String summary, Consumer<OptionParser> options, Action action) {
-  /** What a subcommand does. */
+  /** The implementation of a subcommand. */
   @FunctionalInterface
   interface Action {
-    /** Does it and returns how it ended; may end by {@link CommandException} too. */
+    /**
+     * Runs the subcommand.
+     *
+     * @return the exit code
+     * @throws CommandException to exit with a message on standard error
+     */
     ExitCode run(Invocation invocation);
   }
 }
--- a/cli/src/main/java/dev/ibishub/cli/CommandException.java
+++ b/cli/src/main/java/dev/ibishub/cli/CommandException.java
@@ -1,6 +1,6 @@
 package dev.ibishub.cli;
 
-/** Ends a command with an exit code and a line for people. */
+/** Ends a command with an exit code and a one-line message for the user. */
 final class CommandException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
--- a/cli/src/main/java/dev/ibishub/cli/CommandLine.java
+++ b/cli/src/main/java/dev/ibishub/cli/CommandLine.java
@@ -12,7 +12,7 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 
-/** Finds the subcommand, reads its options and runs it. */
+/** Finds the subcommand that a command line names, parses its options and runs it. */
 final class CommandLine {
   static final List<Command> COMMANDS =
       Stream.of(
@@ -33,14 +33,14 @@
     this.err = err;
   }
 
-  /** Runs a command line and returns how it ended. */
+  /** Runs a command line and returns its exit code; writes mistakes to the error stream. */
   ExitCode run(String... arguments) {
     if (arguments.length == 0) {
-      usage(err);
+      printUsage(err);
       return ExitCode.USAGE;
     }
     if (arguments[0].equals("--help") || arguments[0].equals("help")) {
-      usage(out);
+      printUsage(out);
       return ExitCode.DONE;
     }
     if (arguments[0].equals("--version")) {
@@ -61,14 +61,14 @@
     try {
       OptionSet options = parser.parse(arguments);
       if (options.has("help")) {
-        help(command, parser);
+        printHelp(command, parser);
         return ExitCode.DONE;
       }
       if (options.has("version")) {
         out.println(version());
         return ExitCode.DONE;
       }
-      requireOutput(options);
+      requireKnownOutputFormat(options);
       return command.action().run(new Invocation(options, environment, out, err));
     } catch (OptionException e) {
       err.println("ibishub " + command.name() + ": " + e.getMessage() + "; see --help");
@@ -99,18 +99,18 @@
     return parser;
   }
 
-  private static void requireOutput(OptionSet options) {
+  private static void requireKnownOutputFormat(OptionSet options) {
     if (!List.of("json", "table").contains(String.valueOf(options.valueOf("output")))) {
       throw new CommandException(ExitCode.USAGE, "--output takes json or table");
     }
   }
 
-  private void usage(PrintStream to) {
-    to.println("usage: ibishub COMMAND [options]; ibishub COMMAND --help shows the options");
-    COMMANDS.forEach(command -> to.printf("  %-10s %s%n", command.name(), command.summary()));
+  private void printUsage(PrintStream stream) {
+    stream.println("usage: ibishub COMMAND [options]; ibishub COMMAND --help shows the options");
+    COMMANDS.forEach(command -> stream.printf("  %-10s %s%n", command.name(), command.summary()));
   }
 
-  private void help(Command command, OptionParser parser) {
+  private void printHelp(Command command, OptionParser parser) {
     out.println("ibishub " + command.name() + ": " + command.summary());
     try {
       parser.printHelpOn(out);
--- a/cli/src/main/java/dev/ibishub/cli/ExitCode.java
+++ b/cli/src/main/java/dev/ibishub/cli/ExitCode.java
@@ -2,12 +2,15 @@
 
 /** The exit codes of the program, as docs/OPERATIONS.md lists them. */
 enum ExitCode {
+  /** The command succeeded. */
   DONE(0),
-  /** Refused: nothing was changed and nothing ran. */
+  /** The request was refused: nothing was changed and nothing ran. */
   REFUSED(1),
-  /** The command line is wrong. */
+  /** The command line is invalid. */
   USAGE(2),
-  /** It may have taken effect; the history or the answer of another try will tell. */
+  /**
+   * The command may have taken effect; the history or the reply to a retry shows whether it did.
+   */
   OUTCOME_UNKNOWN(3),
   /** The entry could not be reached, so nothing was changed. */
   UNREACHABLE(4);
--- a/cli/src/test/java/dev/ibishub/cli/CommandLineTest.java
+++ b/cli/src/test/java/dev/ibishub/cli/CommandLineTest.java
@@ -33,7 +33,10 @@
   private final ByteArrayOutputStream err = new ByteArrayOutputStream();
   private final List<String> requests = Collections.synchronizedList(new ArrayList<>());
   private HttpServer server;
+
+  /** HTTP status to answer with; 0 closes the connection without a response. */
   private int status = 200;
+
   private String answer = "{}";
 
   @BeforeEach
@@ -100,7 +103,7 @@
 
   @ParameterizedTest
   @MethodSource("brokenFiles")
-  void validateNamesTheFaultOfBrokenFileAndChangesNothing(Path file) throws IOException {
+  void validateReportsPositionOfFaultAndSendsNoRequest(Path file) throws IOException {
     String place = Files.readString(file).substring("// ".length()).split(": ", 2)[0];
     String[] lineAndColumn = place.split(":", 2);
 
@@ -114,7 +117,7 @@
   }
 
   @Test
-  void validateAcceptsGoodFile() throws IOException {
+  void validateAcceptsValidFile() throws IOException {
     assertThat(run("validate", "--base-file", file("{\"models\": [{\"name\": \"m\"}]}")))
         .isEqualTo(ExitCode.DONE);
   }
@@ -133,7 +136,7 @@
     "addresses,                       GET /v1/addresses k",
     "send --service panel --path /q,  GET /services/panel/q k",
   })
-  void commandMakesItsCall(String line, String call) {
+  void commandSendsExpectedRequest(String line, String call) {
     assertThat(run(line.split(" ", -1))).isEqualTo(ExitCode.DONE);
 
     assertThat(requests)
@@ -142,7 +145,7 @@
   }
 
   @Test
-  void sendShowsTheTextOfTheAnswer() {
+  void sendPrintsCompletionText() {
     answer = "{\"choices\": [{\"text\": \"a wading bird\"}]}";
 
     assertThat(run("send", "--model", "dictionary", "--prompt", "ibis")).isEqualTo(ExitCode.DONE);
@@ -155,7 +158,7 @@
   }
 
   @Test
-  void publishBuildsEachPartOnTheRevisionOfTheOneBefore() throws IOException {
+  void publishBasesEachPartOnRevisionOfPreviousPart() throws IOException {
     answer = "{\"revision\": 8}";
     String file = file("{}");
 
@@ -172,7 +175,7 @@
   }
 
   @Test
-  void refusalSaysWhoWon() throws IOException {
+  void conflictPrintsTitleAndDetail() throws IOException {
     status = 409;
     answer =
         "{\"title\":\"configuration conflict\",\"outcome\":\"not run\",\"detail\":\"nino won\"}";
@@ -183,11 +186,12 @@
   }
 
   /**
-   * A person is told that nothing ran although it may have. Entries write the outcome in words; the
-   * program looked for the name of the code, found none and took the answer for a refusal.
+   * Guards against telling the user that nothing ran although it may have. Entries write the
+   * outcome in words; a program that looks for the name of the result code takes the reply for a
+   * refusal.
    */
   @Test
-  void undecidedPublicationHasItsOwnExitCode() throws IOException {
+  void undecidedPublicationExitsWithOutcomeUnknown() throws IOException {
     status = 503;
     answer = "{\"title\":\"configuration undecided\",\"outcome\":\"outcome unknown\"}";
 
@@ -196,11 +200,11 @@
   }
 
   /**
-   * The connection breaks after the entry took a publication. Whether it holds is open, so the
-   * program must say neither done nor refused.
+   * The connection breaks after the entry received a publication. Whether it took effect is
+   * unknown, so the program must report neither success nor refusal.
    */
   @Test
-  void brokenConnectionAfterPublishingIsOutcomeUnknown() throws IOException {
+  void connectionLostAfterPublishingExitsWithOutcomeUnknown() throws IOException {
     status = 0;
 
     assertThat(run("publish", "--base-file", file("{}"), "--based-on", "7"))
@@ -208,7 +212,7 @@
   }
 
   @Test
-  void entryThatIsNotThereIsUnreachable() {
+  void refusedConnectionExitsWithUnreachable() {
     server.stop(0);
 
     assertThat(run("show")).isEqualTo(ExitCode.UNREACHABLE);
@@ -226,13 +230,13 @@
     "show --unknown",
     "validate --base-file /no/such/file",
   })
-  void wrongCommandLineIsUsage(String line) {
+  void invalidCommandLineExitsWithUsage(String line) {
     assertThat(run(line.split(" ", -1))).isEqualTo(ExitCode.USAGE);
     assertThat(requests).isEmpty();
   }
 
   @Test
-  void tableShowsListsInColumns() {
+  void tablePrintsListsInColumns() {
     answer = "{\"revision\":2,\"events\":[{\"author\":\"nino\",\"revision\":2}]}";
 
     run("history");
