--- a/cli/src/main/java/dev/ibishub/cli/CallerCommands.java
+++ b/cli/src/main/java/dev/ibishub/cli/CallerCommands.java
@@ -10,9 +10,9 @@
 import java.util.Optional;
 import joptsimple.OptionParser;
 
-/** The subcommands that do what a caller does. */
+/** The subcommands that send requests to an entry as a caller of a workspace. */
 final class CallerCommands {
-  private static final String DEFAULT_TOKENS = "64";
+  private static final String DEFAULT_MAXIMUM_TOKENS = "64";
 
   private CallerCommands() {}
 
@@ -21,28 +21,28 @@
         new Command(
             "addresses",
             "ask which entries to use",
-            CallerCommands::keyOption,
+            CallerCommands::addKeyOption,
             invocation -> invocation.show(invocation.callerClient(Map.of()).get("/v1/addresses"))),
         new Command(
             "send",
             "send a request to a model, or with --service to a plain service",
-            CallerCommands::sendOptions,
+            CallerCommands::addSendOptions,
             CallerCommands::send));
   }
 
-  private static void keyOption(OptionParser parser) {
+  private static void addKeyOption(OptionParser parser) {
     parser.accepts("key-file", "file with the workspace's key; or IBISHUB_KEY").withRequiredArg();
   }
 
-  private static void sendOptions(OptionParser parser) {
-    keyOption(parser);
+  private static void addSendOptions(OptionParser parser) {
+    addKeyOption(parser);
     parser.accepts("model", "the model").withRequiredArg();
     parser.accepts("prompt", "the prompt").withRequiredArg();
     parser.accepts("prompt-file", "file with the prompt").withRequiredArg();
     parser
         .accepts("maximum-tokens", "the most tokens wanted")
         .withRequiredArg()
-        .defaultsTo(DEFAULT_TOKENS);
+        .defaultsTo(DEFAULT_MAXIMUM_TOKENS);
     parser.accepts("service", "a plain service, in place of a model").withRequiredArg();
     parser.accepts("method", "of the service's call").withRequiredArg().defaultsTo("GET");
     parser.accepts("path", "of the service's call, from '/' on").withRequiredArg().defaultsTo("/");
@@ -57,7 +57,7 @@
     Optional<String> service = invocation.option("service");
     return service.isPresent()
         ? callService(invocation, client, service.get())
-        : complete(invocation, client);
+        : requestCompletion(invocation, client);
   }
 
   private static ExitCode callService(Invocation invocation, ApiClient client, String service) {
@@ -69,7 +69,7 @@
             : client.send(method, path, invocation.required("data")));
   }
 
-  private static ExitCode complete(Invocation invocation, ApiClient client) {
+  private static ExitCode requestCompletion(Invocation invocation, ApiClient client) {
     ObjectNode body =
         JsonNodeFactory.instance
             .objectNode()
@@ -78,7 +78,7 @@
             .put("max_tokens", invocation.requiredNumber("maximum-tokens"));
     ApiReply reply = client.post("/v1/completions", body.toString());
     if (reply.isRefusal()) {
-      return invocation.refuse(reply);
+      return invocation.reportRefusal(reply);
     }
     JsonNode text = reply.json().path("choices").path(0).path("text");
     invocation.print(text, reply.text());
@@ -88,7 +88,7 @@
   private static String prompt(Invocation invocation) {
     return invocation
         .option("prompt-file")
-        .map(file -> invocation.text(Path.of(file)))
+        .map(file -> invocation.readFile(Path.of(file)))
         .orElseGet(() -> invocation.required("prompt"));
   }
 }
--- a/cli/src/main/java/dev/ibishub/cli/ConfigurationCommands.java
+++ b/cli/src/main/java/dev/ibishub/cli/ConfigurationCommands.java
@@ -17,9 +17,9 @@
 import java.util.Optional;
 import joptsimple.OptionParser;
 
-/** The subcommands about settings and configuration. */
+/** The subcommands that validate, publish and show settings and configuration. */
 final class ConfigurationCommands {
-  private static final String PATH = "/admin/v1/configuration";
+  private static final String CONFIGURATION_PATH = "/admin/v1/configuration";
 
   private ConfigurationCommands() {}
 
@@ -28,12 +28,12 @@
         new Command(
             "validate",
             "check a base with overlays, or settings files, without changing anything",
-            ConfigurationCommands::validateOptions,
+            ConfigurationCommands::addValidateOptions,
             ConfigurationCommands::validate),
         new Command(
             "publish",
             "publish a base, then overlays, on top of a revision",
-            ConfigurationCommands::publishOptions,
+            ConfigurationCommands::addPublishOptions,
             ConfigurationCommands::publish),
         new Command(
             "show",
@@ -55,14 +55,14 @@
             invocation -> invocation.show(invocation.operatorClient().get("/admin/v1/history"))));
   }
 
-  private static void validateOptions(OptionParser parser) {
+  private static void addValidateOptions(OptionParser parser) {
     parser.accepts("base-file", "file of the base").withRequiredArg();
     parser.accepts("overlay", "file of a site's overlay, as SITE=FILE").withRequiredArg();
     parser.accepts("entry-settings", "settings file of an entry").withRequiredArg();
     parser.accepts("agent-settings", "settings file of an agent").withRequiredArg();
   }
 
-  private static void publishOptions(OptionParser parser) {
+  private static void addPublishOptions(OptionParser parser) {
     parser.accepts("base-file", "file of the base").withRequiredArg();
     parser.accepts("overlay", "file of a site's overlay, as SITE=FILE").withRequiredArg();
     parser.accepts("based-on", "the revision that you saw, 0 for none yet").withRequiredArg();
@@ -78,15 +78,20 @@
       throw new CommandException(
           ExitCode.USAGE, "--base-file, --entry-settings or --agent-settings is needed");
     }
-    base.ifPresent(file -> collect(faults, () -> parse(invocation, Path.of(file), overlays)));
+    base.ifPresent(
+        file -> collectFaults(faults, () -> parseDocument(invocation, Path.of(file), overlays)));
     entry.ifPresent(
-        file -> collect(faults, () -> EntrySettings.parse(file, invocation.text(Path.of(file)))));
+        file ->
+            collectFaults(
+                faults, () -> EntrySettings.parse(file, invocation.readFile(Path.of(file)))));
     agent.ifPresent(
-        file -> collect(faults, () -> AgentSettings.parse(file, invocation.text(Path.of(file)))));
-    return report(invocation, faults);
+        file ->
+            collectFaults(
+                faults, () -> AgentSettings.parse(file, invocation.readFile(Path.of(file)))));
+    return printFaults(invocation, faults);
   }
 
-  private static void collect(List<Fault> faults, Runnable check) {
+  private static void collectFaults(List<Fault> faults, Runnable check) {
     try {
       check.run();
     } catch (SettingsException e) {
@@ -94,20 +99,21 @@
     }
   }
 
-  private static void parse(Invocation invocation, Path base, Map<String, Path> overlays) {
+  private static void parseDocument(Invocation invocation, Path base, Map<String, Path> overlays) {
     Map<String, Source> sources = new LinkedHashMap<>();
     overlays.forEach(
-        (site, file) -> sources.put(site, new Source(file.toString(), invocation.text(file))));
-    ConfigurationDocument.parse(new Source(base.toString(), invocation.text(base)), sources);
+        (site, file) -> sources.put(site, new Source(file.toString(), invocation.readFile(file))));
+    ConfigurationDocument.parse(new Source(base.toString(), invocation.readFile(base)), sources);
   }
 
-  private static ExitCode report(Invocation invocation, List<Fault> faults) {
+  private static ExitCode printFaults(Invocation invocation, List<Fault> faults) {
     ObjectNode result = JsonNodeFactory.instance.objectNode().put("valid", faults.isEmpty());
-    ArrayNode list = result.putArray("faults");
+    ArrayNode faultNodes = result.putArray("faults");
     faults.forEach(
         fault -> {
           ObjectNode node =
-              list.addObject()
+              faultNodes
+                  .addObject()
                   .put("file", fault.file())
                   .put("line", fault.line())
                   .put("column", fault.column())
@@ -129,11 +135,12 @@
       throw new CommandException(ExitCode.USAGE, "--base-file or --overlay is needed");
     }
     Map<String, String> texts = new LinkedHashMap<>();
-    parts.forEach((kind, file) -> texts.put(kind, invocation.text(file)));
+    parts.forEach((kind, file) -> texts.put(kind, invocation.readFile(file)));
     ApiClient client = invocation.operatorClient();
     for (Map.Entry<String, String> part : texts.entrySet()) {
       invocation.err().println("publishing " + part.getKey() + " on revision " + basedOn);
-      ApiReply reply = client.post(PATH, publication(part.getKey(), basedOn, part.getValue()));
+      ApiReply reply =
+          client.post(CONFIGURATION_PATH, publicationBody(part.getKey(), basedOn, part.getValue()));
       ExitCode code = invocation.show(reply);
       if (code != ExitCode.DONE) {
         return code;
@@ -143,7 +150,7 @@
     return ExitCode.DONE;
   }
 
-  private static String publication(String kind, long basedOn, String content) {
+  private static String publicationBody(String kind, long basedOn, String content) {
     return JsonNodeFactory.instance
         .objectNode()
         .put("kind", kind)
@@ -157,7 +164,7 @@
         invocation.option("revision").isPresent()
             ? "?revision=" + invocation.requiredNumber("revision")
             : "";
-    return invocation.show(invocation.operatorClient().get(PATH + query));
+    return invocation.show(invocation.operatorClient().get(CONFIGURATION_PATH + query));
   }
 
   private static ExitCode diff(Invocation invocation) {
@@ -165,6 +172,6 @@
     if (invocation.option("to").isPresent()) {
       query += "&to=" + invocation.requiredNumber("to");
     }
-    return invocation.show(invocation.operatorClient().get(PATH + "/diff" + query));
+    return invocation.show(invocation.operatorClient().get(CONFIGURATION_PATH + "/diff" + query));
   }
 }
--- a/cli/src/main/java/dev/ibishub/cli/FleetCommands.java
+++ b/cli/src/main/java/dev/ibishub/cli/FleetCommands.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** The subcommands about targets and what was done to them. */
+/** The subcommands for the state of targets, orders to them and the audit of operators' actions. */
 final class FleetCommands {
   private FleetCommands() {}
 
@@ -22,15 +22,15 @@
             "drain",
             "TARGET: give it no new work and let its requests end",
             parser -> {},
-            invocation -> order(invocation, "drain")),
+            invocation -> sendOrder(invocation, "drain")),
         new Command(
             "undrain",
             "TARGET: give it work again",
             parser -> {},
-            invocation -> order(invocation, "undrain")));
+            invocation -> sendOrder(invocation, "undrain")));
   }
 
-  private static ExitCode order(Invocation invocation, String order) {
+  private static ExitCode sendOrder(Invocation invocation, String order) {
     String target = invocation.argument("target");
     if (!target.matches("[A-Za-z0-9][A-Za-z0-9._-]*")) {
       throw new CommandException(ExitCode.USAGE, "not the id of a target: " + target);
--- a/cli/src/main/java/dev/ibishub/cli/Invocation.java
+++ b/cli/src/main/java/dev/ibishub/cli/Invocation.java
@@ -14,25 +14,36 @@
 import joptsimple.OptionSet;
 
 /**
- * One run of a subcommand.
+ * One run of a subcommand: its parsed options, environment and output streams.
  *
- * @param options the command line
+ * @param options parsed command line
  * @param environment environment variables
- * @param out for results
- * @param err for progress and refusals
+ * @param out stream for results
+ * @param err stream for progress and errors
  */
 record Invocation(
     OptionSet options, Map<String, String> environment, PrintStream out, PrintStream err) {
 
+  /** Returns the value of an option; empty when it is not given and has no default. */
   Optional<String> option(String name) {
     return Optional.ofNullable((String) options.valueOf(name));
   }
 
+  /**
+   * Returns the value of an option.
+   *
+   * @throws CommandException if the option is not given and has no default
+   */
   String required(String name) {
     return option(name)
         .orElseThrow(() -> new CommandException(ExitCode.USAGE, "--" + name + " is needed"));
   }
 
+  /**
+   * Returns the value of an option as a non-negative number.
+   *
+   * @throws CommandException if the option is missing or not a number of at most 18 digits
+   */
   long requiredNumber(String name) {
     String text = required(name);
     if (!text.matches("\\d{1,18}")) {
@@ -41,16 +52,21 @@
     return Long.parseLong(text);
   }
 
-  /** Returns the one argument that is no option. */
-  String argument(String what) {
+  /**
+   * Returns the only positional argument.
+   *
+   * @param description what the argument is, for the error message
+   * @throws CommandException if there is not exactly one
+   */
+  String argument(String description) {
     List<?> arguments = options.nonOptionArguments();
     if (arguments.size() != 1) {
-      throw new CommandException(ExitCode.USAGE, "one " + what + " is needed");
+      throw new CommandException(ExitCode.USAGE, "one " + description + " is needed");
     }
     return String.valueOf(arguments.get(0));
   }
 
-  /** Returns the options of the form SITE=FILE by site, in the order given. */
+  /** Returns the files of the {@code --overlay SITE=FILE} options by site, in the order given. */
   Map<String, Path> overlays() {
     Map<String, Path> overlays = new LinkedHashMap<>();
     for (Object value : options.valuesOf("overlay")) {
@@ -65,7 +81,12 @@
     return overlays;
   }
 
-  String text(Path file) {
+  /**
+   * Reads a file as UTF-8.
+   *
+   * @throws CommandException if the file cannot be read
+   */
+  String readFile(Path file) {
     try {
       return Files.readString(file);
     } catch (IOException e) {
@@ -73,26 +94,27 @@
     }
   }
 
-  /** Makes a client that shows an operator's token. */
+  /** Creates a client that authenticates with an operator's token, if one is given. */
   ApiClient operatorClient() {
     return client(secret("token-file", "IBISHUB_TOKEN"), Map.of());
   }
 
-  /** Makes a client that shows a workspace's key. */
+  /** Creates a client that authenticates with a workspace's key, if one is given. */
   ApiClient callerClient(Map<String, String> headers) {
     return client(secret("key-file", "IBISHUB_KEY"), headers);
   }
 
-  /** Writes a reply as the options say and turns it into an exit code. */
+  /** Prints a reply in the chosen output format and returns the exit code that it stands for. */
   ExitCode show(ApiReply reply) {
     if (reply.isRefusal()) {
-      return refuse(reply);
+      return reportRefusal(reply);
     }
     print(reply.json(), reply.text());
     return ExitCode.DONE;
   }
 
-  ExitCode refuse(ApiReply reply) {
+  /** Prints an error reply and returns its exit code. */
+  ExitCode reportRefusal(ApiReply reply) {
     if (isJson()) {
       out.println(reply.text());
     }
@@ -104,11 +126,12 @@
     return reply.isOutcomeUnknown() ? ExitCode.OUTCOME_UNKNOWN : ExitCode.REFUSED;
   }
 
+  /** Prints the text when the output format is JSON or {@code json} is missing, else a table. */
   void print(JsonNode json, String text) {
     out.println(isJson() || json.isMissingNode() ? text : TableOutput.of(json));
   }
 
-  /** Prints something that has a form for people besides its JSON. */
+  /** Prints the JSON when that is the output format, else the text. */
   void printText(JsonNode json, String text) {
     out.println(isJson() ? json.toString() : text);
   }
@@ -118,18 +141,19 @@
   }
 
   private ApiClient client(Optional<String> secret, Map<String, String> headers) {
-    Map<String, String> all = new HashMap<>(headers);
-    secret.ifPresent(value -> all.put("Authorization", "Bearer " + value));
+    Map<String, String> allHeaders = new HashMap<>(headers);
+    secret.ifPresent(value -> allHeaders.put("Authorization", "Bearer " + value));
     Duration timeout = Duration.ofSeconds(requiredNumber("timeout-seconds"));
-    return new ApiClient(required("url"), all, timeout, err);
+    return new ApiClient(required("url"), allHeaders, timeout, err);
   }
 
   /**
-   * Takes a secret from a file or a variable; the argument list is open to every user of a host.
+   * Reads a secret from a file or an environment variable. It is never an argument itself, as every
+   * user of a host can read the argument list.
    */
   private Optional<String> secret(String fileOption, String variable) {
     return option(fileOption)
-        .map(file -> text(Path.of(file)).strip())
+        .map(file -> readFile(Path.of(file)).strip())
         .or(() -> Optional.ofNullable(environment.get(variable)));
   }
 }
--- a/cli/src/main/java/dev/ibishub/cli/LogCommands.java
+++ b/cli/src/main/java/dev/ibishub/cli/LogCommands.java
@@ -28,7 +28,7 @@
       throw new CommandException(ExitCode.USAGE, "--log is needed");
     }
     List<String> texts =
-        files.stream().flatMap(file -> invocation.text(Path.of(file)).lines()).toList();
+        files.stream().flatMap(file -> invocation.readFile(Path.of(file)).lines()).toList();
     List<LogLine> lines = texts.stream().map(LogLine::read).flatMap(Optional::stream).toList();
     if (lines.size() < texts.size()) {
       invocation.err().printf("ibishub: %d lines are no events%n", texts.size() - lines.size());
