--- a/cli/src/main/java/dev/ibishub/cli/LogCommands.java
+++ b/cli/src/main/java/dev/ibishub/cli/LogCommands.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The subcommands about logs. */
+/** The subcommands that read the processes' logs. */
 final class LogCommands {
   private LogCommands() {}
 
@@ -27,18 +27,18 @@
     if (files.isEmpty()) {
       throw new CommandException(ExitCode.USAGE, "--log is needed");
     }
-    List<String> texts =
+    List<String> rawLines =
         files.stream().flatMap(file -> invocation.readFile(Path.of(file)).lines()).toList();
-    List<LogLine> lines = texts.stream().map(LogLine::read).flatMap(Optional::stream).toList();
-    if (lines.size() < texts.size()) {
-      invocation.err().printf("ibishub: %d lines are no events%n", texts.size() - lines.size());
+    List<LogLine> lines = rawLines.stream().map(LogLine::read).flatMap(Optional::stream).toList();
+    if (lines.size() < rawLines.size()) {
+      invocation.err().printf("ibishub: %d lines are no events%n", rawLines.size() - lines.size());
     }
-    Optional<RequestStory> story = RequestStory.of(request, lines);
-    if (story.isEmpty()) {
+    Optional<RequestTimeline> timeline = RequestTimeline.of(request, lines);
+    if (timeline.isEmpty()) {
       invocation.err().println("ibishub: no line names the request " + request);
       return ExitCode.REFUSED;
     }
-    invocation.printText(story.get().toJson(), story.get().toText());
+    invocation.printText(timeline.get().toJson(), timeline.get().toText());
     return ExitCode.DONE;
   }
 }
--- a/cli/src/main/java/dev/ibishub/cli/LogLine.java
+++ b/cli/src/main/java/dev/ibishub/cli/LogLine.java
@@ -9,15 +9,15 @@
 import java.util.Optional;
 
 /**
- * One line of a process's log.
+ * One event in a process's JSON log.
  *
- * @param time when it was written, by that process's clock
- * @param fields all of it
+ * @param time when the line was written, by that process's clock
+ * @param fields all fields of the line, including the time
  */
 record LogLine(Instant time, ObjectNode fields) {
   private static final ObjectMapper JSON = new ObjectMapper();
 
-  /** Reads a line; empty for one that is no event of a log in JSON. */
+  /** Parses a line; empty when it is not a JSON event with a time. */
   static Optional<LogLine> read(String line) {
     try {
       JsonNode node = JSON.readTree(line);
@@ -26,7 +26,7 @@
       }
       return Optional.of(new LogLine(Instant.parse(fields.path("time").asText()), fields));
     } catch (JsonProcessingException | DateTimeException e) {
-      // Lines of other programs stand among a log's; the caller counts them.
+      // A log may contain lines of other programs; the calling code counts them.
       return Optional.empty();
     }
   }
@@ -39,6 +39,7 @@
     return text("event");
   }
 
+  /** Returns a field as text; the empty string when it is missing. */
   String text(String field) {
     return fields.path(field).asText();
   }
--- a/cli/src/test/java/dev/ibishub/cli/ExplainTest.java
+++ b/cli/src/test/java/dev/ibishub/cli/ExplainTest.java
@@ -34,10 +34,11 @@
         .run(arguments);
   }
 
-  // A caller complains about one answer. It was tried through two entries; the second one's clock
-  // and log file are its own, and what it knew by then was older than what the first one knew.
+  // One request was tried through two entries. Each has its own log and clock, and the second one
+  // knew an older configuration. Guards against mixing up the order of the lines, or showing state
+  // that a process did not yet know at its first line of the request.
   @Test
-  void linesOfARequestStandInOrderWithWhatWasBelieved() throws IOException {
+  void ordersLinesOfRequestAfterStateKnownToEachProcess() throws IOException {
     String first =
         log(
             "entry-1.log",
@@ -66,7 +67,7 @@
   }
 
   @Test
-  void requestThatNoLineNamesIsSaidSo() throws IOException {
+  void refusesUnknownRequestAndMissingLogOption() throws IOException {
     String file = log("entry-1.log", line("01", "entry-1", "lead.taken", ""));
 
     assertThat(run("explain", "r", "--log", file)).isEqualTo(ExitCode.REFUSED);
