--- a/cli/src/main/java/dev/ibishub/cli/Main.java
+++ b/cli/src/main/java/dev/ibishub/cli/Main.java
@@ -3,14 +3,14 @@
 import java.io.PrintStream;
 import java.nio.charset.StandardCharsets;
 
-/** The program {@code ibishub}. */
+/** Main class of the command-line program {@code ibishub}. */
 public final class Main {
   private Main() {}
 
   /**
    * Runs the program and ends the process with the exit code that docs/OPERATIONS.md lists.
    *
-   * @param arguments the command line
+   * @param arguments command-line arguments
    */
   public static void main(String[] arguments) {
     PrintStream out = new PrintStream(System.out, true, StandardCharsets.UTF_8);
--- a/cli/src/main/java/dev/ibishub/cli/TableOutput.java
+++ b/cli/src/main/java/dev/ibishub/cli/TableOutput.java
@@ -8,7 +8,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Writes JSON for people: single values as lines, lists of objects as tables. */
+/** Formats JSON for the terminal: single values as lines, lists of objects as tables. */
 final class TableOutput {
   private TableOutput() {}
 
--- a/cli/src/main/java/dev/ibishub/cli/package-info.java
+++ b/cli/src/main/java/dev/ibishub/cli/package-info.java
@@ -1,2 +1,2 @@
-/** ibishub: the operators command line. */
+/** The operators' command-line program {@code ibishub}. */
 package dev.ibishub.cli;
