--- a/wire/src/main/java/dev/ibishub/wire/TlsContexts.java
+++ b/wire/src/main/java/dev/ibishub/wire/TlsContexts.java
@@ -20,7 +20,8 @@
    * @param certificate certificate chain of this process
    * @param key private key of the certificate, in PKCS #8
    * @param trust certificates of the authorities that peers' chains must lead to
-   * @throws SSLException when a file cannot be read as PEM
+   * @throws IllegalArgumentException if a file does not hold valid certificates or a valid key
+   * @throws SSLException if a context cannot be created from them
    */
   public static TlsContexts read(Path certificate, Path key, Path trust) throws SSLException {
     SslContext server =
