--- a/agent/src/main/java/dev/ibishub/agent/ClaimBucket.java
+++ b/agent/src/main/java/dev/ibishub/agent/ClaimBucket.java
@@ -20,8 +20,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * One stream of claims: its reader, its ledger and the claims that wait for it. Thread-safe: all
- * state is under the bucket's lock, and no future is completed and no log called while it is held.
+ * The claims of one log stream: the stream's reader, its ledger and the claims that are pending.
+ * Thread-safe: all state is guarded by the bucket's lock, and while that is held no future is
+ * completed and the log is not called.
  */
 final class ClaimBucket {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -37,7 +38,7 @@
   private final ClaimLedger ledger;
   private final WaitingClaims waiting = new WaitingClaims();
   private long nextOffset;
-  private long endAtStart = UNKNOWN;
+  private long streamEndAtStart = UNKNOWN;
   private boolean appending;
   private Instant nextAppendAt = Instant.MIN;
   private boolean closed;
@@ -64,7 +65,7 @@
     synchronized (this) {
       if (!isReady()) {
         return CompletableFuture.failedFuture(
-            refusal(ResultCode.NOT_READY, "the claims on the log are not read yet", now));
+            refusal(ResultCode.NOT_READY, "the claims on the log have not been read yet", now));
       }
       try {
         Optional<ClaimResult> known = ledger.tryClaim(request, now);
@@ -76,7 +77,7 @@
       }
       waiting.add(claim);
     }
-    timer.at(earlier(request.deadline(), now.plus(options.patience())), () -> giveUp(claim));
+    timer.at(earlier(request.deadline(), now.plus(options.patience())), () -> timeOut(claim));
     append();
     return claim.result();
   }
@@ -90,14 +91,14 @@
   }
 
   synchronized boolean isReady() {
-    return endAtStart != UNKNOWN && nextOffset >= endAtStart;
+    return streamEndAtStart != UNKNOWN && nextOffset >= streamEndAtStart;
   }
 
   synchronized void close() {
     closed = true;
   }
 
-  /** Reads on from where the last read ended, and goes on for as long as the bucket is open. */
+  /** Reads from where the last read ended, and schedules the next read until the bucket closes. */
   void read() {
     long from;
     Instant waitUntil = clock.instant();
@@ -106,8 +107,8 @@
         return;
       }
       from = nextOffset;
-      // The first read is to tell at once how far the stream goes, also when it is empty.
-      waitUntil = endAtStart == UNKNOWN ? waitUntil : waitUntil.plus(options.longPoll());
+      // The first read must not wait: it reports the stream's end, also when there is no record.
+      waitUntil = streamEndAtStart == UNKNOWN ? waitUntil : waitUntil.plus(options.longPoll());
     }
     var unused =
         log.read(stream, from, PAGE_RECORDS, waitUntil)
@@ -121,21 +122,21 @@
       timer.at(now.plus(options.readBackoff()), this::read);
       return;
     }
-    List<Runnable> decided = new ArrayList<>();
+    List<Runnable> completions = new ArrayList<>();
     synchronized (this) {
-      endAtStart = endAtStart == UNKNOWN ? page.nextOffset() : endAtStart;
+      streamEndAtStart = streamEndAtStart == UNKNOWN ? page.nextOffset() : streamEndAtStart;
       for (LogRecord record : page.records()) {
-        apply(record.offset(), ClaimCodec.decode(record.payload()), now, decided);
+        apply(record.offset(), ClaimCodec.decode(record.payload()), now, completions);
       }
       nextOffset = Math.max(nextOffset, page.firstKept());
     }
-    decided.forEach(Runnable::run);
+    completions.forEach(Runnable::run);
     timer.at(now, this::read);
   }
 
   /**
-   * Sends what waits as one append, unless one is under way. Claims that come meanwhile gather for
-   * the next.
+   * Sends the unsent claims as one append, unless one is in flight. Claims that arrive meanwhile go
+   * into the next append.
    */
   private void append() {
     Instant now = clock.instant();
@@ -145,14 +146,14 @@
       }
       appending = true;
       if (now.isBefore(nextAppendAt)) {
-        timer.at(nextAppendAt, this::appendNow);
+        timer.at(nextAppendAt, this::appendBatch);
         return;
       }
     }
-    appendNow();
+    appendBatch();
   }
 
-  private void appendNow() {
+  private void appendBatch() {
     List<ClaimRecord> batch;
     synchronized (this) {
       batch = waiting.takeUnsent(self, options.maximumBatch());
@@ -169,57 +170,61 @@
 
   private void onAppended(List<ClaimRecord> batch, Long offset, Throwable failure) {
     Instant now = clock.instant();
-    List<Runnable> decided = new ArrayList<>();
+    List<Runnable> completions = new ArrayList<>();
     synchronized (this) {
       appending = false;
       if (failure == null && offset == nextOffset) {
-        // All records before this one were read, so it need not be read back to be decided.
-        apply(offset, batch, now, decided);
+        // All earlier records have been read, so the claims can be decided without reading back.
+        apply(offset, batch, now, completions);
       } else if (failure != null && isSurelyNotAppended(failure)) {
         ResultException refusal =
-            refusal(ResultCode.LOG_UNAVAILABLE, "the log takes no claims", now);
+            refusal(ResultCode.LOG_UNAVAILABLE, "the log is unavailable for claims", now);
         batch.forEach(
             claim ->
-                waiting.remove(claim.claimKey()).forEach(one -> refuse(one, refusal, decided)));
+                waiting
+                    .remove(claim.claimKey())
+                    .forEach(pending -> refuse(pending, refusal, completions)));
       }
-      // After a lost answer nothing is known: reading on shows whether the record is there.
+      // If the answer was lost, reading on shows whether the record was appended.
     }
-    decided.forEach(Runnable::run);
+    completions.forEach(Runnable::run);
     append();
   }
 
-  /**
-   * Applies a record at its offset, once: the append's own answer and the reader may both bring it.
-   */
-  private void apply(long offset, List<ClaimRecord> claims, Instant now, List<Runnable> decided) {
+  /** Applies a record once: both the append's own answer and the reader may deliver it. */
+  private void apply(
+      long offset, List<ClaimRecord> claims, Instant now, List<Runnable> completions) {
     if (offset < nextOffset) {
       return;
     }
     nextOffset = offset + 1;
     for (ClaimRecord claim : claims) {
       ledger.apply(claim, now);
-      waiting.remove(claim.claimKey()).forEach(one -> decide(one, now, decided));
+      waiting.remove(claim.claimKey()).forEach(pending -> decide(pending, now, completions));
     }
   }
 
-  private void decide(WaitingClaim claim, Instant now, List<Runnable> decided) {
+  private void decide(WaitingClaim claim, Instant now, List<Runnable> completions) {
     try {
       Optional<ClaimResult> result = ledger.tryClaim(claim.request(), now);
       if (result.isPresent()) {
-        decided.add(() -> claim.result().complete(result.get()));
+        completions.add(() -> claim.result().complete(result.get()));
       } else {
-        refuse(claim, refusal(ResultCode.LOG_UNAVAILABLE, "the claim was not kept", now), decided);
+        refuse(
+            claim,
+            refusal(ResultCode.LOG_UNAVAILABLE, "the claim was not kept in the ledger", now),
+            completions);
       }
     } catch (ResultException e) {
-      refuse(claim, e, decided);
+      refuse(claim, e, completions);
     }
   }
 
   /**
-   * Refuses a claim that the log left without an answer for too long. The call was not started, and
-   * no later reading starts it: the claim no longer waits.
+   * Refuses a claim that the log has not confirmed in time. The call was not started, and a record
+   * read later does not start it, because the claim is no longer pending.
    */
-  private void giveUp(WaitingClaim claim) {
+  private void timeOut(WaitingClaim claim) {
     Instant now = clock.instant();
     synchronized (this) {
       if (!waiting.remove(claim)) {
@@ -232,8 +237,8 @@
             refusal(ResultCode.LOG_UNAVAILABLE, "the log did not confirm the claim in time", now));
   }
 
-  private static void refuse(WaitingClaim claim, ResultException why, List<Runnable> decided) {
-    decided.add(() -> claim.result().completeExceptionally(why));
+  private static void refuse(WaitingClaim claim, ResultException why, List<Runnable> completions) {
+    completions.add(() -> claim.result().completeExceptionally(why));
   }
 
   private ResultException refusal(ResultCode code, String detail, Instant now) {
@@ -245,7 +250,7 @@
     return cause instanceof ResultException known && known.code() == ResultCode.LOG_UNAVAILABLE;
   }
 
-  private static Instant earlier(Instant one, Instant other) {
-    return one.isBefore(other) ? one : other;
+  private static Instant earlier(Instant first, Instant second) {
+    return first.isBefore(second) ? first : second;
   }
 }
--- a/agent/src/main/java/dev/ibishub/agent/ClaimCodec.java
+++ b/agent/src/main/java/dev/ibishub/agent/ClaimCodec.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.stream.Stream;
 
-/** Writes and reads the records of the claim streams. */
+/** Encodes and decodes the records of the claim streams. */
 final class ClaimCodec {
   private ClaimCodec() {}
 
@@ -28,7 +28,10 @@
     return batch.build().toByteArray();
   }
 
-  /** Reads a record; what no release could have written is left out, for all readers alike. */
+  /**
+   * Decodes a record. Invalid records and claims are skipped, by every reader in the same way, so
+   * that all ledgers agree.
+   */
   static List<ClaimRecord> decode(byte[] payload) {
     try {
       ClaimBatch batch = ClaimBatch.parseFrom(payload);
--- a/agent/src/main/java/dev/ibishub/agent/ClaimWriter.java
+++ b/agent/src/main/java/dev/ibishub/agent/ClaimWriter.java
@@ -11,15 +11,16 @@
 import java.util.stream.IntStream;
 
 /**
- * Claims calls that may run once only, on the log, before this agent starts them.
+ * Claims calls that must run at most once, on the append-only log, before this agent starts them.
  *
- * <p>Claims that come while an append is under way share the next one. A claim counts only when it
- * was read back in the log's order: the answer of an append may be lost, and another agent's claim
- * of the same key may stand before it. When the log is down a claim is refused with {@code
- * LOG_UNAVAILABLE} and the call is not run; should the claim turn up on the log later, it is this
- * agent's and idle, so the caller's next try here still runs the call once.
+ * <p>Claims that arrive while an append is in flight are batched into the next one. A claim is
+ * decided only when it has been read back in log order, because the answer of an append may be lost
+ * and another agent's claim of the same key may precede it. While the log is down, claims are
+ * refused with {@code LOG_UNAVAILABLE} and the calls are not run. If such a claim appears on the
+ * log later, this agent owns it and has not used it, so the caller's retry here still runs the call
+ * once.
  *
- * <p>Thread-safe. Keys are spread over buckets, each with its own stream, ledger and lock.
+ * <p>Thread-safe. Keys are hashed to buckets, each with its own stream, ledger and lock.
  *
  * <pre>{@code
  * writer.claim(request).thenAccept(result -> {
@@ -37,15 +38,15 @@
   }
 
   /**
-   * Creates a writer and starts to read the claim streams.
+   * Creates a writer and starts reading the claim streams.
    *
    * @param log the log service
-   * @param self this run of this process; the incarnation must be new at each start
+   * @param self the identity of this process; the incarnation must be new at each start
    * @param options how to use the log
-   * @param clock the time
-   * @param timer runs what is to be done later
-   * @return the writer; it refuses claims with {@code NOT_READY} until it has read each stream as
-   *     far as it went at the start
+   * @param clock the source of the current time
+   * @param timer schedules retries, reads and timeouts
+   * @return the writer; it refuses claims with {@code NOT_READY} until it has read each stream up
+   *     to the end that the stream had at the start
    */
   public static ClaimWriter start(
       AppendOnlyLog log,
@@ -66,8 +67,8 @@
    * Claims a call.
    *
    * @param request the claim
-   * @return the result; fails with {@code NOT_READY} or {@code LOG_UNAVAILABLE} (not run, with a
-   *     time to retry), {@code MALFORMED_REQUEST}, {@code IDEMPOTENCY_KEY_REUSED}, or {@code
+   * @return the result; fails with {@code NOT_READY} or {@code LOG_UNAVAILABLE} (call not run, with
+   *     a time to retry), {@code MALFORMED_REQUEST}, {@code IDEMPOTENCY_KEY_REUSED}, or {@code
    *     IDEMPOTENCY_KEY_EXPIRED}
    */
   public CompletableFuture<ClaimResult> claim(ClaimRequest request) {
@@ -75,17 +76,18 @@
   }
 
   /**
-   * Gives a won call back that was surely not started: revoked, or past its deadline.
+   * Releases the claim of a call that was certainly not started, because its attempt was revoked or
+   * its deadline passed.
    *
    * @param key the key of the call
-   * @param attemptId the attempt that had won it
+   * @param attemptId the attempt that won the claim
    */
   public void notStarted(ClaimKey key, String attemptId) {
     bucket(key).notStarted(key, attemptId);
   }
 
   /**
-   * Notes the end of a won call. To be called after the answer's buffer was ended.
+   * Records the end of a claimed call. Must be called after the answer's buffer has been ended.
    *
    * @param key the key of the call
    * @param attemptId the attempt that ran it
@@ -95,15 +97,15 @@
   }
 
   /**
-   * Says whether the streams have been read as far as they went at the start.
+   * Returns whether each stream has been read up to the end that it had at the start.
    *
-   * @return whether claims are taken
+   * @return whether claims are accepted
    */
   public boolean isReady() {
     return buckets.stream().allMatch(ClaimBucket::isReady);
   }
 
-  /** Stops reading; waiting claims are refused as their patience ends. */
+  /** Stops reading the log; pending claims are refused when their time limit is reached. */
   @Override
   public void close() {
     buckets.forEach(ClaimBucket::close);
--- a/agent/src/main/java/dev/ibishub/agent/ClaimWriterOptions.java
+++ b/agent/src/main/java/dev/ibishub/agent/ClaimWriterOptions.java
@@ -6,13 +6,14 @@
 /**
  * How a {@link ClaimWriter} uses the log.
  *
- * @param buckets how many streams the keys are spread over, the same at every agent
- * @param ledger bounds of each bucket's ledger
- * @param maximumBatch the most claims in one append
- * @param appendInterval the least time between two appends of a bucket
- * @param patience how long a claim waits for the log before it is refused
+ * @param buckets the number of streams that the keys are hashed to; must be the same at every agent
+ * @param ledger the options of each bucket's ledger
+ * @param maximumBatch the maximum number of claims in one append
+ * @param appendInterval the minimum time between two appends of a bucket
+ * @param patience how long a claim waits for confirmation by the log before it is refused; also the
+ *     time after which a refused caller may retry
  * @param longPoll how long a read waits for a record
- * @param readBackoff how long to wait after a failed read
+ * @param readBackoff the delay before the next read after a failed one
  */
 public record ClaimWriterOptions(
     int buckets,
@@ -22,14 +23,14 @@
     Duration patience,
     Duration longPoll,
     Duration readBackoff) {
-  /** Checks the bounds. */
+  /** Checks that the counts are positive. */
   public ClaimWriterOptions {
     if (buckets < 1 || maximumBatch < 1) {
       throw new IllegalArgumentException("buckets and maximumBatch must be positive");
     }
   }
 
-  /** Returns one bucket, 500 claims an append, at most 50 appends a second, 2 s of patience. */
+  /** Returns the defaults: 1 bucket, 500 claims per append, 50 appends per second, 2 s timeout. */
   public static ClaimWriterOptions defaults() {
     return new ClaimWriterOptions(
         1,
--- a/agent/src/main/java/dev/ibishub/agent/WaitingClaim.java
+++ b/agent/src/main/java/dev/ibishub/agent/WaitingClaim.java
@@ -5,9 +5,9 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A claim that waits for the log.
+ * A claim that the log has not confirmed yet.
  *
  * @param request the claim
- * @param result to be completed with what became of it
+ * @param result completed with the result of the claim, or with the reason of its refusal
  */
 record WaitingClaim(ClaimRequest request, CompletableFuture<ClaimResult> result) {}
--- a/agent/src/main/java/dev/ibishub/agent/WaitingClaims.java
+++ b/agent/src/main/java/dev/ibishub/agent/WaitingClaims.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Claims that wait for the log, and which of their keys were not sent yet. Not thread-safe. */
+/** Pending claims by key, and which keys have not been sent to the log yet. Not thread-safe. */
 final class WaitingClaims {
   private final Map<ClaimKey, List<WaitingClaim>> byKey = new HashMap<>();
   private final Set<ClaimKey> unsent = new LinkedHashSet<>();
@@ -30,7 +30,7 @@
     return unsent.isEmpty();
   }
 
-  /** Takes the next records to append, in the order in which their keys came. */
+  /** Removes and returns the next records to append, in the order in which their keys arrived. */
   List<ClaimRecord> takeUnsent(ProcessIncarnation owner, int maximum) {
     List<ClaimRecord> taken = new ArrayList<>();
     Iterator<ClaimKey> keys = unsent.iterator();
@@ -42,14 +42,14 @@
     return taken;
   }
 
-  /** Takes all claims of a key away. */
+  /** Removes and returns all claims of a key; empty if there are none. */
   List<WaitingClaim> remove(ClaimKey key) {
     unsent.remove(key);
     List<WaitingClaim> removed = byKey.remove(key);
     return removed == null ? List.of() : removed;
   }
 
-  /** Takes one claim away; false when it no longer waits. */
+  /** Removes a claim; returns false if it is no longer pending. */
   boolean remove(WaitingClaim claim) {
     ClaimKey key = claim.request().claimKey();
     List<WaitingClaim> sameKey = byKey.get(key);
