--- a/agent/src/test/java/dev/ibishub/agent/ClaimWriterTest.java
+++ b/agent/src/test/java/dev/ibishub/agent/ClaimWriterTest.java
@@ -26,7 +26,7 @@
   private final FakeLog log = new FakeLog(timer);
 
   @Test
-  void claimIsWonWhenItStandsOnTheLog() {
+  void winsClaimOnceItIsOnTheLog() {
     ClaimWriter writer = startedWriter();
     CompletableFuture<ClaimResult> claim = writer.claim(request("k", "a"));
     assertThat(claim).isNotDone();
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void claimsThatComeDuringAnAppendShareTheNextOne() {
+  void batchesClaimsThatArriveDuringAnAppend() {
     ClaimWriter writer = startedWriter();
     for (int i = 0; i < 100; i++) {
       assertThat(writer.claim(request("k" + i, "a" + i))).isNotDone();
@@ -53,9 +53,9 @@
   }
 
   @Test
-  void oneAppendIsUnderWayAtATimeAlsoWithoutAnInterval() {
-    // A burst of calls takes the log's whole share of appends, and configuration can't be
-    // published.
+  void keepsOneAppendInFlightWithoutAnInterval() {
+    // Guards against a burst of calls that uses up the log's append rate, so that no configuration
+    // can be published.
     ClaimWriterOptions defaults = ClaimWriterOptions.defaults();
     ClaimWriterOptions noInterval =
         new ClaimWriterOptions(
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void sameKeyAtOnceRunsOnceAndTheOtherJoins() {
+  void runsOnceAndJoinsSecondCallWithSameKey() {
     ClaimWriter writer = startedWriter();
     CompletableFuture<ClaimResult> first = writer.claim(request("k", "a"));
     CompletableFuture<ClaimResult> second = writer.claim(request("k", "b"));
@@ -91,9 +91,10 @@
   }
 
   @Test
-  void claimThatStandsBeforeOursOnTheLogWins() {
-    // An incentive is posted twice: two agents claimed its key at the same time, and this one took
-    // the answer of its own append for the win, without reading what stands before it.
+  void losesToEarlierClaimOnTheLog() {
+    // Guards against running a call twice: two agents claim its key at the same time, and one
+    // counts
+    // a successful append as a win without reading the records before it.
     ClaimWriter writer = startedWriter();
     CompletableFuture<ClaimResult> claim = writer.claim(request("k", "a"));
     log.add(recordOf(OTHER, "k"));
@@ -104,10 +105,11 @@
   }
 
   @Test
-  void lostAnswerOfAnAppendIsSettledByReading() {
-    // An incentive isn't posted, or twice: the log took the claim but its answer was lost.
+  void decidesByReadingWhenAppendAnswerIsLost() {
+    // Guards against running a call twice or never: the log appends the claim but its answer is
+    // lost.
     ClaimWriter writer = startedWriter();
-    log.losesAnswers = true;
+    log.loseAnswers = true;
     CompletableFuture<ClaimResult> claim = writer.claim(request("k", "a"));
 
     settle();
@@ -117,7 +119,7 @@
   }
 
   @Test
-  void outageRefusesAtOnceAsNotRunWithATimeToRetry() {
+  void refusesAsNotRunWithRetryTimeWhenLogIsDown() {
     ClaimWriter writer = startedWriter();
     log.down = true;
     CompletableFuture<ClaimResult> claim = writer.claim(request("k", "a"));
@@ -129,9 +131,9 @@
   }
 
   @Test
-  void claimThatWasRefusedAndTurnsUpLateRunsNothingUntilItIsAskedForAgain() {
-    // The caller was told "not run" in an outage. The claim had reached the log after all; when it
-    // is read back nothing may start, and the caller's next try must still run, once.
+  void runsCallOnceOnRetryWhenRefusedClaimAppearsLate() {
+    // The caller was told "not run" during an outage, but the claim had reached the log. Reading it
+    // back must not start the call, and the caller's retry must run it once.
     ClaimWriter writer = startedWriter();
     CompletableFuture<ClaimResult> claim = writer.claim(request("k", "a"));
     timer.advanceTo(START.plusSeconds(2));
@@ -146,7 +148,7 @@
   }
 
   @Test
-  void revokedWinIsGivenBack() {
+  void allowsNewClaimAfterWinnerWasNotStarted() {
     ClaimWriter writer = startedWriter();
     CompletableFuture<ClaimResult> claim = writer.claim(request("k", "a"));
     settle();
@@ -158,9 +160,9 @@
   }
 
   @Test
-  void freshAgentReadsTheStreamToItsEndBeforeItDecides() {
-    // An incentive is posted twice: the agent was restarted in the nightly upgrade and did not yet
-    // know what its earlier run had claimed.
+  void refusesClaimsUntilRestartedAgentHasReadTheStream() {
+    // Guards against running a call twice: the agent was restarted and has not yet read what its
+    // earlier run claimed.
     ProcessIncarnation before = new ProcessIncarnation("agent-1", 0);
     log.add(recordOf(before, "k"));
     ClaimWriter writer = ClaimWriter.start(log, SELF, ClaimWriterOptions.defaults(), timer, timer);
@@ -174,7 +176,7 @@
   }
 
   @Test
-  void readerGoesOnAfterAnOutage() {
+  void resumesReadingAfterAnOutage() {
     ClaimWriter writer = startedWriter();
     log.down = true;
     log.add(recordOf(OTHER, "k"));
@@ -187,7 +189,7 @@
   }
 
   @Test
-  void recordThatNoReleaseWroteIsPassedOver() {
+  void skipsInvalidRecord() {
     log.add("no claim".getBytes(StandardCharsets.UTF_8));
     ClaimWriter writer = startedWriter();
 
@@ -208,7 +210,7 @@
     return writer;
   }
 
-  /** Answers the log's calls and runs what is due until nothing is left to do at this time. */
+  /** Answers the log's calls and runs due tasks until none are left at the current time. */
   private void settle() {
     do {
       while (!log.calls.isEmpty()) {
--- a/agent/src/test/java/dev/ibishub/agent/FakeLog.java
+++ b/agent/src/test/java/dev/ibishub/agent/FakeLog.java
@@ -13,14 +13,17 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** A log of one stream on which each call is answered when the test says so. Not thread-safe. */
+/**
+ * Log with one stream that answers each call when the test runs it from {@link #calls}. Not
+ * thread-safe.
+ */
 final class FakeLog implements AppendOnlyLog {
   final Deque<Runnable> calls = new ArrayDeque<>();
   final List<byte[]> records = new ArrayList<>();
   private final List<Runnable> heldReads = new ArrayList<>();
   private final InstantSource clock;
   boolean down;
-  boolean losesAnswers;
+  boolean loseAnswers;
   int firstKept;
   int appends;
 
@@ -43,7 +46,7 @@
     return answer;
   }
 
-  /** Appends a record as another agent would. */
+  /** Appends a record directly, as if another agent had written it. */
   void add(byte[] record) {
     records.add(record);
     calls.addAll(heldReads);
@@ -57,7 +60,7 @@
       return;
     }
     add(record);
-    if (losesAnswers) {
+    if (loseAnswers) {
       answer.completeExceptionally(new ResultException(ResultCode.OUTCOME_UNKNOWN, "lost"));
     } else {
       answer.complete(records.size() - 1L);
