--- a/agent/src/main/java/dev/ibishub/agent/Timer.java
+++ b/agent/src/main/java/dev/ibishub/agent/Timer.java
@@ -6,22 +6,22 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Runs tasks at a time, or soon after it. */
+/** Schedules tasks for a given time. */
 @FunctionalInterface
 public interface Timer {
   /**
-   * Runs a task on another thread's stack, never within this call.
+   * Schedules a task. The task never runs within this call.
    *
-   * @param when the earliest time
-   * @param task what to run
+   * @param when the earliest time at which the task runs; at once if it has passed
+   * @param task the task to run
    */
   void at(Instant when, Runnable task);
 
   /**
-   * Makes a timer of an executor.
+   * Creates a timer that runs its tasks on an executor.
    *
    * @param executor runs the tasks
-   * @param clock the time
+   * @param clock the source of the current time
    * @return the timer
    */
   static Timer on(ScheduledExecutorService executor, InstantSource clock) {
--- a/agent/src/test/java/dev/ibishub/agent/ManualTimer.java
+++ b/agent/src/test/java/dev/ibishub/agent/ManualTimer.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** A clock and timer that the test moves. Not thread-safe. */
+/** Clock and timer that the test advances. Not thread-safe. */
 final class ManualTimer implements Timer, InstantSource {
   private record Task(Instant when, Runnable action) {}
 
@@ -31,7 +31,7 @@
     now = time;
   }
 
-  /** Runs the first task that is due; false when none is. */
+  /** Runs the first due task; returns false if none is due. */
   boolean runNext() {
     Optional<Task> due = tasks.stream().filter(task -> !task.when().isAfter(now)).findFirst();
     due.ifPresent(
