--- a/agent/src/main/java/dev/ibishub/agent/ServiceBackend.java
+++ b/agent/src/main/java/dev/ibishub/agent/ServiceBackend.java
@@ -27,12 +27,12 @@
 import java.util.stream.IntStream;
 
 /**
- * Runs attempts on the plain service beside this agent. A call that may not be repeated is claimed
- * on the log first; one that was claimed before gets the answer of the attempt that ran it.
+ * Runs attempts on the agent's plain service. A call that must not be repeated is claimed on the
+ * log first; if it was claimed before, it gets the answer of the attempt that ran it.
  */
 final class ServiceBackend implements Backend {
   private static final int CHUNK_BYTES = 32 * 1024;
-  private static final int EVERYTHING = Integer.MAX_VALUE;
+  private static final int ALL_CHUNKS = Integer.MAX_VALUE;
 
   private final PlainService service;
   private final ClaimWriter claims;
@@ -63,7 +63,7 @@
 
   @Override
   public void cancel(Attempt attempt) {
-    // A plain service has no way to stop a call; its answer is dropped when it comes.
+    // A plain service cannot stop a call; its answer is discarded when it arrives.
   }
 
   private CompletableFuture<AnswerEnd> runOnce(Attempt attempt, ClaimRequest request) {
@@ -72,10 +72,10 @@
         .thenCompose(
             result -> {
               if (result instanceof ClaimResult.RunningHere here) {
-                return answerOf(here.attemptId(), attempt);
+                return copyAnswerOf(here.attemptId(), attempt);
               }
               if (result instanceof ClaimResult.Kept kept) {
-                return answerOf(kept.attemptId(), attempt);
+                return copyAnswerOf(kept.attemptId(), attempt);
               }
               if (result instanceof ClaimResult.HeldBy held) {
                 return CompletableFuture.completedFuture(ClaimHolder.end(held.holder()));
@@ -85,8 +85,8 @@
   }
 
   private CompletableFuture<AnswerEnd> runClaimed(Attempt attempt, ClaimRequest request) {
-    // The claim may have taken long, or this process may have been paused. A call begun now would
-    // end after its caller was told that the deadline has passed, so it is given back unused.
+    // The claim may have taken long, or this process may have been paused. A call started now would
+    // run after its caller was told that the deadline has passed, so its claim is released.
     if (attempt.isCancelled() || !clock.instant().isBefore(attempt.deadline())) {
       claims.notStarted(request.claimKey(), attempt.id());
       return CompletableFuture.failedFuture(
@@ -115,10 +115,10 @@
   }
 
   private CompletableFuture<AnswerEnd> call(Attempt attempt) {
-    return service.call(request(attempt)).thenApply(answer -> take(attempt, answer));
+    return service.call(request(attempt)).thenApply(answer -> appendAnswer(attempt, answer));
   }
 
-  private static AnswerEnd take(Attempt attempt, ServiceAnswer answer) {
+  private static AnswerEnd appendAnswer(Attempt attempt, ServiceAnswer answer) {
     byte[] body = answer.body();
     int chunks = (body.length + CHUNK_BYTES - 1) / CHUNK_BYTES;
     IntStream.range(0, chunks)
@@ -134,29 +134,31 @@
         ResultCode.OK, "", 0, 0, Optional.empty(), 1, answer.status(), answer.headers());
   }
 
-  /** Gives an attempt the answer of the one that ran its call. */
-  private CompletableFuture<AnswerEnd> answerOf(String ranBy, Attempt attempt) {
-    Optional<StreamBuffer> buffer = buffers.find(ranBy);
+  /** Copies the answer of the attempt that ran the call, once that attempt has ended. */
+  private CompletableFuture<AnswerEnd> copyAnswerOf(String sourceAttemptId, Attempt attempt) {
+    Optional<StreamBuffer> buffer = buffers.find(sourceAttemptId);
     if (buffer.isEmpty()) {
       return CompletableFuture.failedFuture(
           new ResultException(
-              ResultCode.ANSWER_NO_LONGER_KEPT, "the call ran before, its answer is gone"));
+              ResultCode.ANSWER_NO_LONGER_KEPT,
+              "the call has already run and its answer is no longer kept"));
     }
     CompletableFuture<?> ended =
-        Optional.ofNullable(running.get(ranBy))
+        Optional.ofNullable(running.get(sourceAttemptId))
             .map(Attempt::done)
             .orElseGet(() -> CompletableFuture.completedFuture(null));
     return ended.thenApply(unused -> copy(buffer.get(), attempt));
   }
 
   private static AnswerEnd copy(StreamBuffer from, Attempt to) {
-    List<NumberedChunk> chunks = from.read(0, EVERYTHING);
+    List<NumberedChunk> chunks = from.read(0, ALL_CHUNKS);
     chunks.forEach(chunk -> to.append(chunk.number(), chunk.data()));
     return from.ending()
         .orElseThrow(
             () ->
                 new ResultException(
-                    ResultCode.ALREADY_RUNNING, "the call runs and its answer is not here yet"));
+                    ResultCode.ALREADY_RUNNING,
+                    "the call is running and its answer is not complete yet"));
   }
 
   private static boolean provesNotRun(Throwable thrown) {
