--- a/agent/src/main/java/dev/ibishub/agent/Failures.java
+++ b/agent/src/main/java/dev/ibishub/agent/FutureFailures.java
@@ -4,21 +4,21 @@
 import dev.ibishub.core.ResultException;
 import java.util.concurrent.CompletionException;
 
-/** What a {@code CompletableFuture} failed with. */
-final class Failures {
-  private Failures() {}
+/** Reads the cause, result code and message of a failed {@code CompletableFuture}. */
+final class FutureFailures {
+  private FutureFailures() {}
 
-  static Throwable of(Throwable failure) {
+  static Throwable causeOf(Throwable failure) {
     return failure instanceof CompletionException && failure.getCause() != null
         ? failure.getCause()
         : failure;
   }
 
   static ResultCode codeOf(Throwable failure) {
-    return of(failure) instanceof ResultException result ? result.code() : ResultCode.INTERNAL;
+    return causeOf(failure) instanceof ResultException result ? result.code() : ResultCode.INTERNAL;
   }
 
   static String messageOf(Throwable failure) {
-    return String.valueOf(of(failure).getMessage());
+    return String.valueOf(causeOf(failure).getMessage());
   }
 }
--- a/agent/src/main/java/dev/ibishub/agent/OrderController.java
+++ b/agent/src/main/java/dev/ibishub/agent/OrderController.java
@@ -18,17 +18,18 @@
 import java.util.function.Supplier;
 
 /**
- * Gives orders to this target's engine, one at a time, after {@link OrderGate} has admitted them.
- * The engine's state is read before each order, so an order whose answer was lost is seen. Loads
- * first ask the weight store for leave and come back no sooner than it says. Thread-safe.
+ * Sends orders to the target's engine, one at a time, after {@link OrderGate} has admitted them.
+ * The engine's state is read before each order, which shows whether an order whose answer was lost
+ * has taken effect. A load first reserves its weights at the weight store and respects the store's
+ * retry time. Thread-safe.
  */
 public final class OrderController {
   private final ModelEngine engine;
-  private final WeightGate weights;
+  private final WeightReserver weights;
   private final Function<OrderRequest, WeightReservation> weightsOf;
   private final Supplier<CompletableFuture<Long>> highestToken;
   private final InstantSource clock;
-  private final OneAtATime calls = new OneAtATime();
+  private final SequentialCalls calls = new SequentialCalls();
   private final OrderGate gate;
   private boolean relearned;
 
@@ -36,26 +37,27 @@
    * Creates the controller of an agent that has just started.
    *
    * @param engine the target's engine
-   * @param weightStore asked for leave before a load
-   * @param weightsOf what a load makes the engine fetch
-   * @param highestToken reads the highest fencing token given so far, from what outlives the agent;
-   *     asked until it answers, and no order is taken before
-   * @param settleFor how long after the end of a call to the engine its order may take effect
-   * @param clock the time
+   * @param weightStore where the weights are reserved before a load
+   * @param weightsOf returns the weights that the engine will fetch for a load
+   * @param highestToken reads the highest fencing token used so far from storage that outlives the
+   *     agent; called again for each order until it succeeds, and orders are refused before that
+   * @param settlingTime how long after the end of a call to the engine its order may still take
+   *     effect
+   * @param clock the source of the current time
    */
   public OrderController(
       ModelEngine engine,
       WeightStore weightStore,
       Function<OrderRequest, WeightReservation> weightsOf,
       Supplier<CompletableFuture<Long>> highestToken,
-      Duration settleFor,
+      Duration settlingTime,
       InstantSource clock) {
     this.engine = engine;
-    this.weights = new WeightGate(weightStore, clock);
+    this.weights = new WeightReserver(weightStore, clock);
     this.weightsOf = weightsOf;
     this.highestToken = highestToken;
     this.clock = clock;
-    this.gate = OrderGate.create(clock.instant(), settleFor);
+    this.gate = OrderGate.create(clock.instant(), settlingTime);
   }
 
   /**
@@ -74,14 +76,15 @@
       return CompletableFuture.completedFuture(
           reply(request, ResultCode.MALFORMED_REQUEST, "unknown kind or no order id"));
     }
-    return relearn()
+    return relearnHighestToken()
         .thenCompose(unused -> engine.state())
         .thenCompose(state -> decide(request, kind.get(), state))
         .exceptionally(
-            failure -> reply(request, Failures.codeOf(failure), Failures.messageOf(failure)));
+            failure ->
+                reply(request, FutureFailures.codeOf(failure), FutureFailures.messageOf(failure)));
   }
 
-  private CompletableFuture<Void> relearn() {
+  private CompletableFuture<Void> relearnHighestToken() {
     if (relearned) {
       return CompletableFuture.completedFuture(null);
     }
@@ -101,15 +104,15 @@
         gate.admit(
             request.getOrderId(), request.getFencingToken(), state.lastOrderId(), clock.instant());
     if (code == ResultCode.ACCEPTED) {
-      return CompletableFuture.completedFuture(reply(request, ResultCode.OK, "done before"));
+      return CompletableFuture.completedFuture(reply(request, ResultCode.OK, "already done"));
     }
     if (code != ResultCode.OK) {
       return CompletableFuture.completedFuture(reply(request, code, "refused by the agent"));
     }
-    return reserve(request, kind).thenCompose(unused -> give(request, kind));
+    return reserve(request, kind).thenCompose(unused -> send(request, kind));
   }
 
-  private CompletableFuture<OrderReply> give(OrderRequest request, EngineOrder.Kind kind) {
+  private CompletableFuture<OrderReply> send(OrderRequest request, EngineOrder.Kind kind) {
     EngineOrder order =
         new EngineOrder(
             request.getOrderId(),
@@ -127,12 +130,13 @@
                 gate.onDone(request.getOrderId());
                 return reply(request, ResultCode.OK, "");
               }
-              ResultCode code = Failures.codeOf(failure);
+              ResultCode code = FutureFailures.codeOf(failure);
               if (code != ResultCode.STALE_FENCING_TOKEN && code != ResultCode.TARGET_UNREACHABLE) {
                 gate.onUndecided(request.getOrderId(), clock.instant());
-                return reply(request, ResultCode.ORDER_UNDECIDED, Failures.messageOf(failure));
+                return reply(
+                    request, ResultCode.ORDER_UNDECIDED, FutureFailures.messageOf(failure));
               }
-              return reply(request, code, Failures.messageOf(failure));
+              return reply(request, code, FutureFailures.messageOf(failure));
             });
   }
 
--- a/agent/src/main/java/dev/ibishub/agent/RankController.java
+++ b/agent/src/main/java/dev/ibishub/agent/RankController.java
@@ -20,38 +20,40 @@
 import java.util.function.Function;
 
 /**
- * Runs the agent's side of the switch of the expert map: passes a leader's commands through {@link
- * RankGate} to the engine, one at a time, and reads the engine's state before and after each.
+ * Applies a group leader's commands to the engine of one rank, to switch the group's expert map.
+ * Used behind ibishub's own interface. Each command is checked by {@link RankGate}; commands run
+ * one at a time, and the engine's state is read before and after each.
  *
- * <p>Engines may ignore fencing numbers, so an order of this agent's predecessor, or one whose
- * answer was lost, could take effect after a state was reported that does not show it. Until the
- * settling time is over no command is taken. Commands are bound to this process by their
- * connection: what was sent to a predecessor never arrives here. Thread-safe.
+ * <p>Engines may ignore fencing tokens, so an order from an earlier run of this agent, or one whose
+ * answer was lost, could take effect after a state without it was reported. Commands are therefore
+ * refused until the settling time after such an order is over. Commands arrive on a connection to
+ * this process, so those sent to an earlier run never reach this one. Thread-safe.
  */
 public final class RankController {
   private static final byte[] NO_MAP = new byte[0];
 
   private final ModelEngine engine;
-  private final WeightGate weights;
+  private final WeightReserver weights;
   private final Function<GroupCommand, WeightReservation> weightsOf;
   private final InstantSource clock;
-  private final Duration settleFor;
-  private final OneAtATime calls = new OneAtATime();
+  private final Duration settlingTime;
+  private final SequentialCalls calls = new SequentialCalls();
   private final String group;
   private final RankGate gate;
-  private Instant quietUntil;
+  private Instant settledAt;
   private long reservedVersion;
 
   /**
    * Creates the controller of an agent that has just started.
    *
    * @param engine the rank's engine
-   * @param weightStore asked for leave before a map is staged
-   * @param weightsOf what a staged map makes the engine fetch
+   * @param weightStore where the weights are reserved before a map is staged
+   * @param weightsOf returns the weights that the engine will fetch for a staged map
    * @param group the group's name
    * @param rank the rank's number
-   * @param settleFor how long after the end of a call to the engine its order may take effect
-   * @param clock the time
+   * @param settlingTime how long after the end of a call to the engine its order may still take
+   *     effect
+   * @param clock the source of the current time
    */
   public RankController(
       ModelEngine engine,
@@ -59,23 +61,23 @@
       Function<GroupCommand, WeightReservation> weightsOf,
       String group,
       int rank,
-      Duration settleFor,
+      Duration settlingTime,
       InstantSource clock) {
     this.engine = engine;
-    this.weights = new WeightGate(weightStore, clock);
+    this.weights = new WeightReserver(weightStore, clock);
     this.weightsOf = weightsOf;
     this.group = group;
     this.gate = RankGate.create(group, rank);
-    this.settleFor = settleFor;
+    this.settlingTime = settlingTime;
     this.clock = clock;
-    this.quietUntil = clock.instant().plus(settleFor);
+    this.settledAt = clock.instant().plus(settlingTime);
   }
 
   /**
    * Handles one command of a leader.
    *
    * @param command the command
-   * @return the reply, which says by its result code whether the rank obeyed; never fails
+   * @return the reply, whose result code says whether the command was carried out; never fails
    */
   public CompletableFuture<GroupReply> handle(GroupCommand command) {
     return calls.run(() -> handleNext(command));
@@ -85,17 +87,22 @@
     Optional<dev.ibishub.core.GroupCommand> known = toCore(command);
     if (known.isEmpty()) {
       return CompletableFuture.completedFuture(
-          refusal(command, ResultCode.PROTOCOL_VIOLATION, "unnumbered or of an unknown kind"));
+          refusal(
+              command,
+              ResultCode.PROTOCOL_VIOLATION,
+              "no epoch, no sequence number or unknown kind"));
     }
-    if (clock.instant().isBefore(quietUntil)) {
+    if (clock.instant().isBefore(settledAt)) {
       return CompletableFuture.completedFuture(
-          refusal(command, ResultCode.NOT_READY, "an order may yet take effect"));
+          refusal(command, ResultCode.NOT_READY, "an earlier order may still take effect"));
     }
     return engine
         .rank()
         .thenCompose(state -> decide(command, known.get(), toStatus(state)))
         .exceptionally(
-            failure -> refusal(command, Failures.codeOf(failure), Failures.messageOf(failure)));
+            failure ->
+                refusal(
+                    command, FutureFailures.codeOf(failure), FutureFailures.messageOf(failure)));
   }
 
   private CompletableFuture<GroupReply> decide(
@@ -112,15 +119,15 @@
 
   private CompletableFuture<GroupReply> failed(
       dev.ibishub.core.GroupCommand command, Throwable failure) {
-    ResultCode code = Failures.codeOf(failure);
-    if (mayYetTakeEffect(code)) {
-      quietUntil = clock.instant().plus(settleFor);
+    ResultCode code = FutureFailures.codeOf(failure);
+    if (mayStillTakeEffect(code)) {
+      settledAt = clock.instant().plus(settlingTime);
       return CompletableFuture.failedFuture(failure);
     }
     return engine.rank().thenApply(after -> toWire(gate.reply(command, code, toStatus(after))));
   }
 
-  private static boolean mayYetTakeEffect(ResultCode code) {
+  private static boolean mayStillTakeEffect(ResultCode code) {
     return switch (code) {
       case STEP_ALREADY_PASSED, MAP_NOT_STAGED, STALE_FENCING_TOKEN, WEIGHT_STORE_BUSY -> false;
       default -> true;
--- a/agent/src/main/java/dev/ibishub/agent/OneAtATime.java
+++ b/agent/src/main/java/dev/ibishub/agent/SequentialCalls.java
@@ -3,8 +3,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** Starts each call when the one before has ended, however it ended. Thread-safe. */
-final class OneAtATime {
+/**
+ * Runs asynchronous calls sequentially: each starts when the previous one has succeeded or failed.
+ * Thread-safe.
+ */
+final class SequentialCalls {
   private CompletableFuture<?> last = CompletableFuture.completedFuture(null);
 
   synchronized <T> CompletableFuture<T> run(Supplier<CompletableFuture<T>> call) {
--- a/agent/src/main/java/dev/ibishub/agent/WeightGate.java
+++ b/agent/src/main/java/dev/ibishub/agent/WeightReserver.java
@@ -9,15 +9,15 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * Asks the weight store for leave, and not again before the time that its last refusal gave. Not
- * thread-safe: for calls that go one at a time.
+ * Reserves bandwidth at the weight store, and after a refusal does not ask again before the retry
+ * time that the store gave. Not thread-safe: calls must not overlap.
  */
-final class WeightGate {
+final class WeightReserver {
   private final WeightStore store;
   private final InstantSource clock;
   private Instant retryAt = Instant.MIN;
 
-  WeightGate(WeightStore store, InstantSource clock) {
+  WeightReserver(WeightStore store, InstantSource clock) {
     this.store = store;
     this.clock = clock;
   }
@@ -26,13 +26,16 @@
     if (clock.instant().isBefore(retryAt)) {
       return CompletableFuture.failedFuture(
           new ResultException(
-              ResultCode.WEIGHT_STORE_BUSY, "not before the store's time", retryAt));
+              ResultCode.WEIGHT_STORE_BUSY,
+              "the weight store refused; not asked again before its retry time",
+              retryAt));
     }
     return store
         .reserve(wanted.weights(), wanted.bytes())
         .whenComplete(
             (unused, failure) -> {
-              if (failure != null && Failures.of(failure) instanceof ResultException result) {
+              if (failure != null
+                  && FutureFailures.causeOf(failure) instanceof ResultException result) {
                 retryAt = result.retryAt().orElse(Instant.MIN);
               }
             });
--- a/agent/src/test/java/dev/ibishub/agent/FakeOrderedEngine.java
+++ b/agent/src/test/java/dev/ibishub/agent/FakeUnfencedEngine.java
@@ -16,8 +16,8 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** An engine that ignores fencing tokens and can lose the answer of an order that it has done. */
-final class FakeOrderedEngine implements ModelEngine {
+/** Engine that ignores fencing tokens and can lose the answer of an order that it carried out. */
+final class FakeUnfencedEngine implements ModelEngine {
   final List<String> done = new ArrayList<>();
   boolean loseNextAnswer;
   private String lastOrderId = "";
--- a/agent/src/test/java/dev/ibishub/agent/OrderControllerTest.java
+++ b/agent/src/test/java/dev/ibishub/agent/OrderControllerTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.api.Test;
 
 class OrderControllerTest {
-  private static final Duration SETTLE = Duration.ofSeconds(2);
+  private static final Duration SETTLING_TIME = Duration.ofSeconds(2);
 
-  private final FakeOrderedEngine engine = new FakeOrderedEngine();
+  private final FakeUnfencedEngine engine = new FakeUnfencedEngine();
   private Instant now = Instant.EPOCH;
   private CompletableFuture<Long> highestToken = CompletableFuture.completedFuture(5L);
   private CompletableFuture<Void> store = CompletableFuture.completedFuture(null);
@@ -33,23 +33,23 @@
             },
             request -> new WeightReservation(request.getModel(), 1),
             () -> highestToken,
-            SETTLE,
+            SETTLING_TIME,
             () -> now);
-    now = now.plus(SETTLE);
+    now = now.plus(SETTLING_TIME);
   }
 
-  // An agent restarts and remembers nothing; an order that its predecessor had refused as old comes
-  // again. The engine ignores numbers, so it would load yesterday's model.
+  // Guards against loading an outdated model. An agent without memory restarts, and an order that
+  // its earlier run refused as stale is sent again. The engine ignores fencing tokens.
   @Test
-  void restartedAgentRefusesAnOrderOlderThanWhatItsPredecessorObeyed() {
+  void refusesOrderOlderThanHighestTokenAfterRestart() {
     assertThat(codeOf("old", 4)).isEqualTo(ResultCode.STALE_FENCING_TOKEN);
     assertThat(codeOf("new", 5)).isEqualTo(ResultCode.OK);
     assertThat(engine.done).containsExactly("new");
   }
 
-  // The same, but nobody can say what the highest number is. Any order could be the old one.
+  // As above, but the highest token cannot be read, so any order could be stale.
   @Test
-  void orderIsRefusedWhileTheHighestTokenIsNotKnown() {
+  void refusesOrdersWhileHighestTokenIsUnknown() {
     highestToken =
         CompletableFuture.failedFuture(new ResultException(ResultCode.LOG_UNAVAILABLE, "outage"));
 
@@ -57,20 +57,21 @@
     assertThat(engine.done).isEmpty();
   }
 
-  // An agent dies just after it gave an order, its successor gives the next one, and the first
-  // takes effect last. Waiting until it cannot any longer is all that helps with such an engine.
+  // An agent crashes just after sending an order, its successor sends the next one, and the first
+  // order takes effect last. With an engine that ignores fencing tokens the only protection is to
+  // wait until the first order can no longer take effect.
   @Test
-  void orderWaitsUntilThoseOfThePredecessorHaveSettled() {
+  void refusesOrdersUntilSettlingTimeAfterStartIsOver() {
     now = now.minusMillis(1);
     assertThat(codeOf("next", 6)).isEqualTo(ResultCode.ORDER_UNDECIDED);
     now = now.plusMillis(1);
     assertThat(codeOf("next", 6)).isEqualTo(ResultCode.OK);
   }
 
-  // The engine loads a model and its answer is lost; the operator's tool sends the order again. It
-  // must not be given twice, and the operator must hear that it was done.
+  // The engine loads a model, its answer is lost, and the operator's tool repeats the order. The
+  // engine must get the order only once, and the operator must be told that it was done.
   @Test
-  void lostAnswerIsFoundOutByReadingNotByGivingTheOrderAgain() {
+  void readsEngineStateInsteadOfRepeatingOrderWhenAnswerIsLost() {
     engine.loseNextAnswer = true;
     assertThat(codeOf("load-1", 6)).isEqualTo(ResultCode.ORDER_UNDECIDED);
 
@@ -79,9 +80,9 @@
     assertThat(engine.done).containsExactly("load-1", "load-2");
   }
 
-  // A hundred agents that load a model at once would hammer the weight store all the night.
+  // Guards against a hundred agents overloading the weight store when they load a model at once.
   @Test
-  void weightStoreIsNotAskedAgainBeforeTheTimeItGave() {
+  void doesNotAskWeightStoreAgainBeforeItsRetryTime() {
     store =
         CompletableFuture.failedFuture(
             new ResultException(ResultCode.WEIGHT_STORE_BUSY, "limit", now.plusSeconds(3)));
--- a/agent/src/test/java/dev/ibishub/agent/RankControllerTest.java
+++ b/agent/src/test/java/dev/ibishub/agent/RankControllerTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 class RankControllerTest {
-  private static final Duration SETTLE = Duration.ofSeconds(2);
+  private static final Duration SETTLING_TIME = Duration.ofSeconds(2);
 
-  private final FakeOrderedEngine engine = new FakeOrderedEngine();
+  private final FakeUnfencedEngine engine = new FakeUnfencedEngine();
   private Instant now = Instant.EPOCH;
   private CompletableFuture<Void> store = CompletableFuture.completedFuture(null);
   private int storeAsked;
@@ -36,13 +36,13 @@
             command -> new WeightReservation("experts", command.getMap().size()),
             "dictionary",
             0,
-            SETTLE,
+            SETTLING_TIME,
             () -> now);
-    now = now.plus(SETTLE);
+    now = now.plus(SETTLING_TIME);
   }
 
   @Test
-  void memberObeysItsLeaderAndTellsTheStateOfItsEngine() {
+  void obeysLeaderAndReportsEngineStateAfterJoin() {
     join();
     GroupReply reply = send(GroupCommandKind.GROUP_COMMAND_KIND_HOLD, 9);
 
@@ -51,19 +51,19 @@
     assertThat(reply.getCurrentStep()).isEqualTo(3);
   }
 
-  // An agent dies with an order on its way to the engine. Its successor reads the engine too early,
-  // reports that nothing is committed, and the order takes effect after that.
+  // An agent crashes with an order in flight to the engine. Its successor must not report that
+  // nothing is committed while that order can still take effect.
   @Test
-  void nothingIsReportedBeforeAnOrderOfThePredecessorHasSettled() {
+  void refusesCommandsUntilSettlingTimeAfterStartIsOver() {
     now = now.minusMillis(1);
     assertThat(send(GroupCommandKind.GROUP_COMMAND_KIND_PREPARE, 0).getResultCode())
         .isEqualTo(ResultCode.NOT_READY.number());
   }
 
-  // The answer to a hold is lost. Reported as refused, the leader would think the rank runs on, and
-  // as done, that it holds; either may be wrong until the order has settled.
+  // The answer to a hold is lost. Reporting it as refused would tell the leader that the rank runs
+  // on, and as done that it holds; either may be wrong until the settling time is over.
   @Test
-  void lostAnswerIsLeftOpenUntilItHasSettled() {
+  void reportsUndecidedUntilSettlingTimeWhenAnswerIsLost() {
     join();
     engine.loseNextAnswer = true;
 
@@ -71,15 +71,15 @@
         .isEqualTo(ResultCode.ORDER_UNDECIDED.number());
     assertThat(send(GroupCommandKind.GROUP_COMMAND_KIND_HOLD, 9).getResultCode())
         .isEqualTo(ResultCode.NOT_READY.number());
-    now = now.plus(SETTLE);
+    now = now.plus(SETTLING_TIME);
     assertThat(send(GroupCommandKind.GROUP_COMMAND_KIND_HOLD, 9).getResultCode())
         .isEqualTo(ResultCode.OK.number());
     assertThat(engine.done).containsExactly("HOLD");
   }
 
-  // A leader repeats its command to stage a map while the weight store is over its limit.
+  // A leader repeats its stage command while the weight store is over its rate limit.
   @Test
-  void stagingAsksTheWeightStoreOnceAndNotBeforeTheTimeItGave() {
+  void doesNotAskWeightStoreAgainBeforeItsRetryTimeWhenStaging() {
     join();
     store =
         CompletableFuture.failedFuture(
