--- a/agent/src/main/java/dev/ibishub/agent/FencingTokens.java
+++ b/agent/src/main/java/dev/ibishub/agent/FencingTokens.java
@@ -9,20 +9,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Relearns the highest fencing token of orders after a restart. The token is the revision of the
- * configuration that the order carries out, so the log knows the highest one that may have been
- * used, whatever this VM forgot.
+ * Looks up the highest fencing token of engine orders after a restart. Used behind ibishub's own
+ * interface. The token is the revision of the configuration that an order implements, so the
+ * configuration log gives an upper bound on the tokens used so far, although the restarted agent
+ * has no memory of them.
  */
 final class FencingTokens {
-  private static final long PATIENCE_SECONDS = 5;
+  private static final long TIMEOUT_SECONDS = 5;
 
   private FencingTokens() {}
 
   /**
-   * Reads the revision in force on the log.
+   * Reads the configuration revision in force from the log.
    *
-   * @return the revision; fails with {@code LOG_UNAVAILABLE} when the log does not show it in time,
-   *     and then no order may be taken
+   * @return the revision; fails with {@code LOG_UNAVAILABLE} when the log does not deliver it in
+   *     time, in which case no order may be accepted
    */
   static CompletableFuture<Long> highest(AppendOnlyLog log, String site, InstantSource clock) {
     ConfigurationFollower follower =
@@ -31,13 +32,13 @@
     follower.addListener(configuration -> revision.complete(configuration.revision()));
     follower.start();
     return revision
-        .orTimeout(PATIENCE_SECONDS, TimeUnit.SECONDS)
+        .orTimeout(TIMEOUT_SECONDS, TimeUnit.SECONDS)
         .exceptionallyCompose(
             timeout ->
                 CompletableFuture.failedFuture(
                     new ResultException(
                         ResultCode.LOG_UNAVAILABLE,
-                        "the log has not shown the revision in force",
+                        "the log did not deliver the configuration revision in force in time",
                         clock.instant().plusSeconds(1))))
         .whenComplete((done, failure) -> follower.close());
   }
