--- a/agent/src/main/java/dev/ibishub/agent/Agent.java
+++ b/agent/src/main/java/dev/ibishub/agent/Agent.java
@@ -46,24 +46,24 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Function;
 
-/** One agent process: puts the parts together, starts and stops them. */
+/** Wires, starts and stops the parts of an agent process. */
 public final class Agent {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final long REPORT_MILLIS = 100;
-  private static final long IDLE_REPORT_MILLIS = 1_000;
-  private static final long TICK_MILLIS = 50;
-  private static final long STATE_MILLIS = 500;
-  private static final long LIST_MILLIS = 2_000;
-  private static final int KEPT_ANSWERS = 4_096;
+  private static final long REPORT_PERIOD_MILLIS = 100;
+  private static final long IDLE_REPORT_PERIOD_MILLIS = 1_000;
+  private static final long TICK_PERIOD_MILLIS = 50;
+  private static final long STATE_PERIOD_MILLIS = 500;
+  private static final long LIST_PERIOD_MILLIS = 2_000;
+  private static final int MAXIMUM_KEPT_ANSWERS = 4_096;
 
-  /** What the weight store is asked for before a model is loaded, bytes. */
-  private static final long MODEL_BYTES = 64L << 20;
+  /** Bytes reserved at the weight store before a model is loaded. */
+  private static final long RESERVED_MODEL_BYTES = 64L << 20;
 
-  /** How long after a lost answer an order to the engine may still take effect. */
-  private static final Duration SETTLE_FOR = Duration.ofSeconds(2);
+  /** How long after the end of its call an order to the engine may still take effect. */
+  private static final Duration SETTLING_TIME = Duration.ofSeconds(2);
 
-  private static final Duration ORPHAN_PATIENCE = Duration.ofSeconds(15);
-  private static final Duration KEEP_FOR = Duration.ofSeconds(60);
+  private static final Duration ORPHAN_TIMEOUT = Duration.ofSeconds(15);
+  private static final Duration ANSWER_RETENTION = Duration.ofSeconds(60);
 
   private final AgentSettings settings;
   private final InstantSource clock = InstantSource.system();
@@ -72,34 +72,36 @@
   private final AgentMetrics metrics = new AgentMetrics();
   private final Identity identity;
   private final WireTransport transport;
-  private final VirtualMachineList list;
+  private final VirtualMachineList machineList;
   private final Optional<ClaimWriter> claims;
   private final AttemptRunner runner;
   private final AgentLinks links;
   private final TargetReporter reporter;
-  private volatile Instant reportAt = Instant.EPOCH;
+  private volatile Instant nextIdleReportAt = Instant.EPOCH;
 
   private Agent(AgentSettings settings, Optional<TlsContexts> tls) {
     this.settings = settings;
-    // Wall-clock milliseconds grow from one start of a VM's process to the next.
+    // Wall-clock milliseconds, because the incarnation must grow with each start of the process.
     long incarnation = clock.millis();
     this.identity = new Identity(settings.targetId(), "agent", settings.zone(), incarnation);
     this.transport = WireTransport.create(identity, tls);
     HttpClient client = OutboundHttp.newClient(httpThreads);
-    this.list = HttpVirtualMachineList.create(URI.create(settings.virtualMachineListUrl()), client);
+    this.machineList =
+        HttpVirtualMachineList.create(URI.create(settings.virtualMachineListUrl()), client);
     Optional<ModelEngine> engine =
         settings.engineUrl().map(url -> HttpModelEngine.create(URI.create(url), client));
     AppendOnlyLog log = HttpAppendOnlyLog.create(URI.create(settings.logUrl()), client);
     this.claims =
         settings.kind() == Kind.SERVICE ? Optional.of(claimWriter(log)) : Optional.empty();
-    StreamBuffers buffers = StreamBuffers.create(bufferBytes(settings), KEPT_ANSWERS);
+    StreamBuffers buffers = StreamBuffers.create(bufferBytes(settings), MAXIMUM_KEPT_ANSWERS);
     Backend backend =
         engine
             .<Backend>map(present -> new ModelBackend(present, buffers, clock))
             .orElseGet(() -> serviceBackend(client, buffers));
     this.runner =
         new AttemptRunner(
-            new AttemptRunner.RunnerOptions(settings.maximumQueued(), ORPHAN_PATIENCE, KEEP_FOR),
+            new AttemptRunner.RunnerOptions(
+                settings.maximumQueued(), ORPHAN_TIMEOUT, ANSWER_RETENTION),
             buffers,
             AttemptTable.create(AttemptTableOptions.defaults()),
             ConcurrencyLimit.create(limits(settings)),
@@ -108,8 +110,8 @@
             metrics);
     this.reporter = new TargetReporter(settings, runner, engine, () -> 0, clock);
     WeightStore weights = weightStore(settings, client);
-    OrderDesk orders =
-        new OrderDesk(
+    OrderHandler orders =
+        new OrderHandler(
             runner, orderController(engine, log, weights), this::beginLeaving, this::endLeaving);
     this.links =
         new AgentLinks(
@@ -122,9 +124,10 @@
   /**
    * Starts an agent.
    *
-   * @param settings checked settings
-   * @return the running agent; fails with {@code TARGET_UNREACHABLE} when a port cannot be had
-   * @throws IOException if a key file cannot be read or the metrics port cannot be had
+   * @param settings validated settings
+   * @return the running agent; fails with {@code TARGET_UNREACHABLE} when the port for entries
+   *     cannot be bound
+   * @throws IOException if a key file cannot be read or the metrics port cannot be bound
    */
   public static Agent start(AgentSettings settings) throws IOException {
     Agent agent = new Agent(settings, tls(settings));
@@ -132,12 +135,15 @@
     return agent;
   }
 
-  /** Stops taking work, lets what has started end, and returns when all is told. */
+  /**
+   * Stops accepting work and shuts down once the started attempts have ended and their answers have
+   * been sent, or the drain time is over. Blocks until then.
+   */
   public void drain() {
     Instant deadline = clock.instant().plusSeconds(settings.drainSeconds());
     beginLeaving("stop");
     while (!(runner.isIdle() && links.isFlushed()) && clock.instant().isBefore(deadline)) {
-      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(TICK_MILLIS));
+      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(TICK_PERIOD_MILLIS));
     }
     logger.atInfo().log("%s", LogEvent.of("agent.drained").with("complete", runner.isIdle()));
     close();
@@ -152,24 +158,24 @@
 
   private void open() throws IOException {
     int port = transport.listen(settings.host(), settings.port(), links).join();
-    HttpServer pages =
+    HttpServer metricsServer =
         HttpServer.create(new InetSocketAddress(settings.host(), settings.metricsPort()), 0);
-    MetricsPage.addTo(pages, metrics.registry(), this::isReady);
-    pages.start();
+    MetricsPage.addTo(metricsServer, metrics.registry(), this::isReady);
+    metricsServer.start();
     metrics.gauge("ibishub_agent_queued", "Attempts that wait.", runner::queued);
     metrics.gauge("ibishub_agent_running", "Attempts that run.", runner::running);
     metrics.gauge("ibishub_agent_limit", "Attempts that may run at once.", runner::limit);
-    every(TICK_MILLIS, runner::tick);
-    every(REPORT_MILLIS, this::reportIfDue);
-    every(STATE_MILLIS, reporter::refreshState);
-    every(STATE_MILLIS, this::handBackIfUnreachable);
-    every(STATE_MILLIS, () -> reporter.refreshCache(links::sendToAll));
-    every(LIST_MILLIS, this::readList);
+    every(TICK_PERIOD_MILLIS, runner::tick);
+    every(REPORT_PERIOD_MILLIS, this::reportIfDue);
+    every(STATE_PERIOD_MILLIS, reporter::refreshState);
+    every(STATE_PERIOD_MILLIS, this::handBackIfUnreachable);
+    every(STATE_PERIOD_MILLIS, () -> reporter.refreshCache(links::sendToAll));
+    every(LIST_PERIOD_MILLIS, this::readMachineList);
     logger.atInfo().log(
         "%s",
         LogEvent.of("agent.started")
             .with("port", port)
-            .with("metricsPort", pages.getAddress().getPort())
+            .with("metricsPort", metricsServer.getAddress().getPort())
             .with("incarnation", identity.incarnation()));
   }
 
@@ -179,21 +185,21 @@
         && claims.map(ClaimWriter::isReady).orElse(true);
   }
 
-  /** Reports ten times a second while there is work, once a second while there is none. */
+  /** Reports ten times a second while there is work, else once a second. */
   private void reportIfDue() {
     Instant now = clock.instant();
     boolean busy = runner.running() > 0 || runner.queued() > 0;
-    if (!busy && now.isBefore(reportAt)) {
+    if (!busy && now.isBefore(nextIdleReportAt)) {
       return;
     }
-    reportAt = now.plusMillis(IDLE_REPORT_MILLIS);
+    nextIdleReportAt = now.plusMillis(IDLE_REPORT_PERIOD_MILLIS);
     reporter.refreshLoad();
     links.sendToAll(reporter.report());
   }
 
   /**
-   * An engine that hangs while its agent is well would keep what waits until the deadline; the
-   * entries' links stay up, so nothing else would move it.
+   * Returns queued attempts to the entries while the engine does not answer. The links to the
+   * entries stay up, so otherwise the attempts would wait here until their deadline.
    */
   private void handBackIfUnreachable() {
     if (!reporter.isReachable()) {
@@ -209,8 +215,9 @@
     links.sendToAll(reporter.report());
   }
 
-  private void readList() {
-    list.read()
+  private void readMachineList() {
+    machineList
+        .read()
         .thenAccept(
             machines ->
                 machines.stream()
@@ -231,13 +238,13 @@
             new OrderController(
                 present,
                 weights,
-                order -> new WeightReservation(order.getModel(), MODEL_BYTES),
+                order -> new WeightReservation(order.getModel(), RESERVED_MODEL_BYTES),
                 () -> FencingTokens.highest(log, settings.site(), clock),
-                SETTLE_FOR,
+                SETTLING_TIME,
                 clock));
   }
 
-  /** Takes a leader's commands, if the engine is a rank of a group. */
+  /** Returns the handler of a group leader's commands; it refuses all if there is no group. */
   private Function<GroupCommand, CompletableFuture<GroupReply>> groupCommands(
       Optional<ModelEngine> engine, WeightStore weights) {
     if (engine.isEmpty() || settings.group().isEmpty()) {
@@ -250,7 +257,7 @@
             command -> new WeightReservation(settings.group().get(), command.getMap().size()),
             settings.group().get(),
             settings.rank().orElse(0),
-            SETTLE_FOR,
+            SETTLING_TIME,
             clock);
     return controller::handle;
   }
@@ -289,16 +296,16 @@
   }
 
   private void every(long millis, Runnable task) {
-    Runnable guarded =
+    Runnable guardedTask =
         () -> {
           try {
             task.run();
           } catch (RuntimeException e) {
-            // A timer whose task throws is never run again, without a word.
+            // The executor silently stops a periodic task that throws.
             logger.atSevere().withCause(e).log("%s", LogEvent.of("timer.failed"));
           }
         };
-    var unused = timers.scheduleWithFixedDelay(guarded, 0, millis, TimeUnit.MILLISECONDS);
+    var unused = timers.scheduleWithFixedDelay(guardedTask, 0, millis, TimeUnit.MILLISECONDS);
   }
 
   private static long bufferBytes(AgentSettings settings) {
--- a/agent/src/main/java/dev/ibishub/agent/Attempt.java
+++ b/agent/src/main/java/dev/ibishub/agent/Attempt.java
@@ -10,7 +10,9 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Consumer;
 
-/** One attempt that this agent took: what was asked, the answer so far, and who reads it. */
+/**
+ * An attempt that this agent accepted: its request, its answer so far, and the entry reading it.
+ */
 final class Attempt {
   private final Dispatch dispatch;
   private final Instant deadline;
@@ -43,17 +45,17 @@
     return buffer;
   }
 
-  /** Completed with the end of the answer, never exceptionally. */
+  /** Returns a future of the answer's end; it never fails. */
   CompletableFuture<AnswerEnd> done() {
     return done;
   }
 
-  /** Tells the reader that the attempt can no longer be withdrawn. */
+  /** Tells the reader that the attempt has started and can no longer be revoked. */
   void sendStarted() {
     withRelay(AnswerRelay::sendStarted);
   }
 
-  /** Adds a piece of the answer and passes it on. */
+  /** Appends a piece of the answer to the buffer and sends what the reader's credit allows. */
   void append(long number, String text) {
     append(number, text.getBytes(StandardCharsets.UTF_8));
   }
@@ -63,14 +65,14 @@
     withRelay(AnswerRelay::pump);
   }
 
-  /** Ends the answer; only the first end counts. */
+  /** Ends the answer; only the first call has an effect. */
   void end(AnswerEnd end) {
     buffer.end(end);
     done.complete(end);
     withRelay(AnswerRelay::pump);
   }
 
-  /** Lets another entry read on; the one before gets nothing more. */
+  /** Switches the answer to another reader; the previous one gets nothing more. */
   void relayTo(AnswerRelay next) {
     synchronized (this) {
       relay = next;
@@ -83,8 +85,8 @@
     withRelay(current -> current.credit(chunks));
   }
 
-  /** Notes that a link closed; returns whether this attempt's answer went there. */
-  synchronized boolean orphanedBy(Link link, Instant now) {
+  /** Removes the reader if it is on this closed link, and returns whether it was. */
+  synchronized boolean detachReader(Link link, Instant now) {
     if (relay == null || relay.link() != link) {
       return false;
     }
@@ -93,12 +95,12 @@
     return true;
   }
 
-  /** Whether no other entry reads the answer. */
+  /** Returns whether no other entry reads the answer. */
   synchronized boolean mayBeCancelledBy(Link link) {
     return relay == null || relay.link() == link;
   }
 
-  /** Since when nobody reads the answer. */
+  /** Returns since when the answer has had no reader, or empty if it has one. */
   synchronized Optional<Instant> orphanedAt() {
     return Optional.ofNullable(orphanedAt);
   }
@@ -112,9 +114,10 @@
   }
 
   /**
-   * Whether nobody waits for anything of this attempt any more.
+   * Returns whether the attempt is done and no caller still needs its answer.
    *
-   * @param orphanedBefore whoever lost its reader later may yet come back through another entry
+   * @param orphanedBefore an attempt without a reader counts as settled only if it lost its reader
+   *     before this time; after that, its caller may still resume through another entry
    */
   synchronized boolean isSettled(Instant orphanedBefore) {
     if (!done.isDone()) {
--- a/agent/src/main/java/dev/ibishub/agent/AttemptRunner.java
+++ b/agent/src/main/java/dev/ibishub/agent/AttemptRunner.java
@@ -30,8 +30,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * The gate of one target: every attempt waits here, and starts, or is handed back as not run.
- * Thread-safe; no method blocks.
+ * The queue and scheduler of one target: every attempt waits here until it starts or is returned to
+ * its entry as not run. Thread-safe; no method blocks.
  */
 final class AttemptRunner {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
@@ -45,18 +45,19 @@
   private final AgentMetrics metrics;
   private final RunnerOptions options;
   private final Map<String, Attempt> attempts = new ConcurrentHashMap<>();
-  private final Set<String> closedModels = ConcurrentHashMap.newKeySet();
+  private final Set<String> blockedModels = ConcurrentHashMap.newKeySet();
   private volatile boolean leaving;
 
   /**
-   * Bounds of a runner.
+   * Limits of a runner.
    *
-   * @param maximumQueued the most attempts that wait
-   * @param orphanPatience how long a started attempt whose entry is gone goes on, for its caller to
-   *     come back through another entry
-   * @param keepFor how long the answer of a finished attempt can be joined
+   * @param maximumQueued the maximum number of queued attempts
+   * @param orphanTimeout how long a started attempt whose entry is gone keeps running, so that its
+   *     caller can resume through another entry
+   * @param answerRetention how long after its deadline the answer of a finished attempt can be
+   *     joined
    */
-  record RunnerOptions(int maximumQueued, Duration orphanPatience, Duration keepFor) {}
+  record RunnerOptions(int maximumQueued, Duration orphanTimeout, Duration answerRetention) {}
 
   AttemptRunner(
       RunnerOptions options,
@@ -75,7 +76,7 @@
     this.metrics = metrics;
   }
 
-  /** Takes an attempt in, or refuses it as not run. */
+  /** Queues an attempt, or refuses it as not run. */
   void dispatch(Link link, Dispatch dispatch) {
     Instant now = clock.instant();
     String id = dispatch.getAttemptId();
@@ -84,7 +85,7 @@
       refuse(link, dispatch, now, ResultCode.TARGET_LEAVING, "the target takes no new work");
       return;
     }
-    if (closedModels.contains(dispatch.getModelCall().getModel())) {
+    if (blockedModels.contains(dispatch.getModelCall().getModel())) {
       refuse(link, dispatch, now, ResultCode.TARGET_LEAVING, "the model is being unloaded here");
       return;
     }
@@ -94,13 +95,14 @@
     }
     switch (table.offer(id, deadline, now)) {
       case QUEUED -> enqueue(link, dispatch, deadline, now);
-      case REVOKED -> answer(link, id, ResultCode.REVOKED, "the attempt was withdrawn before");
+      case REVOKED ->
+          answer(link, id, ResultCode.REVOKED, "the attempt was revoked before it arrived");
       case DUPLICATE -> logger.atFine().log("%s", LogEvent.of("attempt.duplicate").with("id", id));
       default -> throw new AssertionError();
     }
   }
 
-  /** Withdraws an attempt that has not started, and says whether that was so. */
+  /** Revokes an attempt unless it has started, and replies whether it was revoked. */
   void revoke(Link link, Revoke revoke) {
     boolean revoked = revokeQueued(revoke.getAttemptId());
     link.offer(
@@ -111,9 +113,10 @@
   }
 
   /**
-   * Stops an attempt whose answer is no longer wanted. An entry whose caller went away cancels
-   * late, when that caller may long read on through another entry: only the present reader is
-   * heard.
+   * Stops an attempt whose answer is no longer wanted. An entry sends the cancel some time after
+   * its caller disconnected, when that caller may already have resumed through another entry. Only
+   * the entry that currently reads the answer, or the caller's own workspace, may therefore cancel
+   * it.
    */
   void cancel(Link link, Cancel cancel) {
     Optional.ofNullable(attempts.get(cancel.getAttemptId()))
@@ -128,7 +131,7 @@
         : cancel.getCallerWorkspace().equals(attempt.dispatch().getWorkspace());
   }
 
-  /** Lets an entry join an answer, from a chunk on. */
+  /** Sends an answer to another entry, starting from the requested chunk. */
   void attach(Link link, Attach attach) {
     Attempt attempt = attempts.get(attach.getAttemptId());
     boolean known =
@@ -150,21 +153,24 @@
         .ifPresent(attempt -> attempt.credit(credit.getChunks()));
   }
 
-  /** Withdraws what waits for an entry that is gone; what has started waits for its caller. */
+  /**
+   * Revokes the queued attempts of an entry that is gone. Started attempts keep running for the
+   * orphan timeout, so that their callers can resume.
+   */
   void linkClosed(Link link) {
     Instant now = clock.instant();
     attempts.values().stream()
-        .filter(attempt -> attempt.orphanedBy(link, now))
+        .filter(attempt -> attempt.detachReader(link, now))
         .forEach(attempt -> revokeQueued(attempt.id()));
   }
 
-  /** From now on refuses new work, and hands back what waits as not run. */
+  /** Starts draining: refuses new attempts and returns queued ones as not run. */
   void beginLeaving() {
     leaving = true;
     handBackQueued(ResultCode.TARGET_LEAVING, "the target is leaving");
   }
 
-  /** Hands back what waits as not run, so that entries send it elsewhere. */
+  /** Returns queued attempts as not run, so that entries send them elsewhere. */
   void handBackQueued(ResultCode code, String detail) {
     attempts.values().stream()
         .filter(attempt -> !attempt.done().isDone())
@@ -173,22 +179,22 @@
         .forEach(id -> handBack(id, code, detail));
   }
 
-  /** Takes work again after a drain that was taken back. */
+  /** Accepts attempts again after a drain was revoked. */
   void endLeaving() {
     leaving = false;
   }
 
-  /** From now on refuses new attempts with a model. */
-  void closeModel(String model) {
-    closedModels.add(model);
+  /** Refuses new attempts for a model until {@link #unblockModel}. */
+  void blockModel(String model) {
+    blockedModels.add(model);
   }
 
-  void openModel(String model) {
-    closedModels.remove(model);
+  void unblockModel(String model) {
+    blockedModels.remove(model);
   }
 
-  /** Whether an attempt with a model waits or runs. */
-  boolean runsModel(String model) {
+  /** Returns whether an attempt for a model is queued or running. */
+  boolean hasUnfinishedAttempt(String model) {
     return attempts.values().stream()
         .filter(attempt -> !attempt.done().isDone())
         .anyMatch(attempt -> attempt.dispatch().getModelCall().getModel().equals(model));
@@ -198,9 +204,12 @@
     return leaving;
   }
 
-  /** Whether nothing waits, runs, is still being sent or may yet be joined again. */
+  /**
+   * Returns whether no attempt is queued or running, and no answer is still being sent or may be
+   * resumed by a caller that lost its entry.
+   */
   boolean isIdle() {
-    Instant orphanedBefore = clock.instant().minus(options.orphanPatience());
+    Instant orphanedBefore = clock.instant().minus(options.orphanTimeout());
     return attempts.values().stream().allMatch(attempt -> attempt.isSettled(orphanedBefore));
   }
 
@@ -220,20 +229,23 @@
     return limit.limit();
   }
 
-  /** Gives up what is past its deadline or orphaned for too long, and forgets what is over. */
+  /**
+   * Ends attempts that are past their deadline or orphaned for too long, and evicts finished ones.
+   * Must be called periodically.
+   */
   void tick() {
     Instant now = clock.instant();
     queue.removeExpired(now).forEach(work -> expire(work.item(), now));
     attempts.values().stream()
         .filter(attempt -> !attempt.done().isDone())
-        .filter(attempt -> isUnwanted(attempt, now))
+        .filter(attempt -> isOverdueOrOrphaned(attempt, now))
         .forEach(attempt -> giveUp(attempt, now));
     attempts
         .values()
         .removeIf(
             attempt ->
                 attempt.done().isDone()
-                    && attempt.deadline().plus(options.keepFor()).isBefore(now));
+                    && attempt.deadline().plus(options.answerRetention()).isBefore(now));
     table.expire(now);
     startNext();
   }
@@ -255,7 +267,7 @@
                 attempt));
     if (!queued) {
       table.revoke(attempt.id(), now);
-      handBack(attempt.id(), ResultCode.REVOKED, "the attempt waits already");
+      handBack(attempt.id(), ResultCode.REVOKED, "the attempt is already queued");
       return;
     }
     metrics.dispatched();
@@ -263,7 +275,7 @@
   }
 
   private void startNext() {
-    while (queue.size() > 0 && takePlace()) {
+    while (queue.size() > 0 && acquireSlot()) {
       Instant now = clock.instant();
       Optional<QueuedWork<Attempt>> next = queue.poll(now);
       boolean started = next.isPresent() && table.tryStart(next.get().id(), now);
@@ -276,7 +288,7 @@
     }
   }
 
-  private boolean takePlace() {
+  private boolean acquireSlot() {
     return limit.tryAcquire() || (queue.isNextUrgent() && limit.tryAcquireReserved());
   }
 
@@ -292,16 +304,16 @@
   private void finish(QueuedWork<Attempt> work, Instant startedAt, AnswerEnd end) {
     Instant now = clock.instant();
     Attempt attempt = work.item();
-    AnswerEnd told =
+    AnswerEnd reported =
         attempt.isCancelled() && end.code() != ResultCode.OK
             ? AnswerEnd.failure(new ResultException(ResultCode.CANCELLED, "cancelled"))
             : end;
-    attempt.end(told);
+    attempt.end(reported);
     table.finished(attempt.id(), now);
     queue.completed(work.workspace(), work.estimatedTokens(), (double) end.usedTokens());
     boolean failed = end.code() != ResultCode.OK && !attempt.isCancelled();
     limit.release(new ConcurrencyLimit.Sample(startedAt, now, end.usedTokens(), failed));
-    metrics.finished(told.code(), startedAt, now);
+    metrics.finished(reported.code(), startedAt, now);
     logger.atInfo().log(
         "%s",
         LogEvent.of("attempt.finished")
@@ -309,16 +321,16 @@
             .with("attempt", attempt.id())
             .with("workspace", work.workspace())
             .with("tokens", end.usedTokens())
-            .code(told.code()));
+            .code(reported.code()));
     startNext();
   }
 
-  private boolean isUnwanted(Attempt attempt, Instant now) {
+  private boolean isOverdueOrOrphaned(Attempt attempt, Instant now) {
     boolean late = !now.isBefore(attempt.deadline());
     boolean orphaned =
         attempt
             .orphanedAt()
-            .map(since -> since.plus(options.orphanPatience()).isBefore(now))
+            .map(since -> since.plus(options.orphanTimeout()).isBefore(now))
             .orElse(false);
     return (late || orphaned) && !attempt.isCancelled();
   }
@@ -330,7 +342,7 @@
     }
     cancelStarted(attempt);
     if (late) {
-      // The answer's reader is told at once; the engine's own end, whenever it comes, is ignored.
+      // The reader gets the end at once; the engine's own end is ignored when it arrives.
       attempt.end(
           AnswerEnd.failure(
               new ResultException(ResultCode.DEADLINE_PASSED_RUNNING, "the deadline has passed")));
@@ -346,12 +358,12 @@
   private boolean revokeQueued(String attemptId) {
     boolean revoked = table.revoke(attemptId, clock.instant());
     if (revoked) {
-      handBack(attemptId, ResultCode.REVOKED, "withdrawn before the start");
+      handBack(attemptId, ResultCode.REVOKED, "revoked before the start");
     }
     return revoked;
   }
 
-  /** Ends an attempt that the table says never starts. */
+  /** Ends an attempt that the table has revoked, so that it can no longer start. */
   private void handBack(String attemptId, ResultCode code, String detail) {
     queue.remove(attemptId);
     Optional.ofNullable(attempts.get(attemptId))
@@ -371,9 +383,9 @@
   }
 
   /**
-   * Refuses an attempt, and sees to it that a late duplicate of it is refused too. It is offered to
-   * the table first: that knows an attempt which was taken before, and one whose deadline has
-   * passed, and of neither may "not run" be said here, as it may have run.
+   * Refuses an attempt, and revokes it in the table so that a late duplicate is refused too. If the
+   * table already knows the attempt, or its deadline has passed, no answer is sent: it may have
+   * run, so "not run" could be wrong.
    */
   private void refuse(Link link, Dispatch dispatch, Instant now, ResultCode code, String detail) {
     String id = dispatch.getAttemptId();
--- a/agent/src/main/java/dev/ibishub/agent/OrderDesk.java
+++ b/agent/src/main/java/dev/ibishub/agent/OrderHandler.java
@@ -8,16 +8,16 @@
 import java.util.function.Consumer;
 
 /**
- * Takes the orders for this target: drains here, all else through the engine's {@link
- * OrderController}. Thread-safe.
+ * Handles the orders for this target: drains and their revocation in the agent itself, all others
+ * through the engine's {@link OrderController}. Thread-safe.
  */
-final class OrderDesk {
+final class OrderHandler {
   private final AttemptRunner runner;
   private final Optional<OrderController> engineOrders;
   private final Consumer<String> beginLeaving;
   private final Runnable endLeaving;
 
-  OrderDesk(
+  OrderHandler(
       AttemptRunner runner,
       Optional<OrderController> engineOrders,
       Consumer<String> beginLeaving,
@@ -28,7 +28,7 @@
     this.endLeaving = endLeaving;
   }
 
-  /** Handles an order; the reply's code says what became of it, the future never fails. */
+  /** Handles an order; the future never fails, and the reply's code gives the result. */
   CompletableFuture<OrderReply> handle(OrderRequest order) {
     return switch (order.getKind()) {
       case "drain" -> {
@@ -45,18 +45,18 @@
   }
 
   /**
-   * Unloads a model. An answer that the engine is writing with it would be cut off, so the model
-   * takes no new attempts from here on and the order goes to the engine only when none runs.
+   * Unloads a model. An unload would cut off answers in progress, so new attempts for the model are
+   * refused from now on, and the order goes to the engine only when none is queued or running.
    */
   private CompletableFuture<OrderReply> unload(OrderRequest order) {
-    runner.closeModel(order.getModel());
-    if (runner.runsModel(order.getModel())) {
+    runner.blockModel(order.getModel());
+    if (runner.hasUnfinishedAttempt(order.getModel())) {
       return done(order, ResultCode.NOT_READY, "answers with this model are still being written");
     }
     return toEngine(order)
         .thenApply(
             reply -> {
-              runner.openModel(order.getModel());
+              runner.unblockModel(order.getModel());
               return reply;
             });
   }
--- a/agent/src/test/java/dev/ibishub/agent/AttemptRunnerTest.java
+++ b/agent/src/test/java/dev/ibishub/agent/AttemptRunnerTest.java
@@ -19,14 +19,14 @@
 class AttemptRunnerTest {
   private static final Instant START = Instant.parse("2026-03-01T22:00:00Z");
   private static final Instant DEADLINE = START.plusSeconds(60);
-  private static final Duration ORPHAN_PATIENCE = Duration.ofSeconds(15);
+  private static final Duration ORPHAN_TIMEOUT = Duration.ofSeconds(15);
 
   private Instant now = START;
   private final FakeBackend backend = new FakeBackend();
   private final FakeEntry entry = new FakeEntry("entry-1");
   private final AttemptRunner runner =
       new AttemptRunner(
-          new AttemptRunner.RunnerOptions(2, ORPHAN_PATIENCE, Duration.ofSeconds(60)),
+          new AttemptRunner.RunnerOptions(2, ORPHAN_TIMEOUT, Duration.ofSeconds(60)),
           StreamBuffers.create(1 << 20, 16),
           AttemptTable.create(AttemptTableOptions.defaults()),
           ConcurrencyLimit.create(new ConcurrencyLimitOptions(1, 1, 1, 0.025, 2, 0)),
@@ -35,7 +35,7 @@
           new AgentMetrics());
 
   @Test
-  void answerIsRelayedWithItsTotals() {
+  void relaysAnswerWithItsChunkCount() {
     dispatch("a");
     backend.finish("a", "one ", "two");
 
@@ -52,7 +52,7 @@
   }
 
   @Test
-  void readerGetsNoMoreThanItsCredit() {
+  void sendsNoMoreChunksThanReaderGranted() {
     runner.dispatch(entry.link, FakeEntry.dispatch("a", DEADLINE, 1));
     backend.finish("a", "one", "two", "three", "four");
     assertThat(entry.chunks()).hasSize(1);
@@ -64,11 +64,11 @@
   }
 
   /**
-   * A caller is told "not run" and an example sentence appears all the same. The dispatch was held
-   * up in the network; its revocation overtook it, was answered, and then the dispatch arrived.
+   * Guards against running an attempt whose caller was told "not run". The dispatch is delayed in
+   * the network and arrives after its revocation has been confirmed.
    */
   @Test
-  void dispatchThatComesAfterItsRevocationNeverRuns() {
+  void refusesDispatchThatArrivesAfterItsRevocation() {
     runner.revoke(entry.link, Revoke.newBuilder().setAttemptId("late").build());
     dispatch("late");
 
@@ -82,7 +82,7 @@
   }
 
   @Test
-  void startedAttemptIsNotRevoked() {
+  void doesNotRevokeStartedAttempt() {
     dispatch("a");
 
     runner.revoke(entry.link, Revoke.newBuilder().setAttemptId("a").build());
@@ -93,11 +93,11 @@
   }
 
   /**
-   * A nightly upgrade loses requests. The agent is told to stop while some wait in its queue; they
-   * must come back as not run, so that entries send them elsewhere, and what runs must end whole.
+   * Guards against losing requests in an upgrade. When the agent is drained, queued attempts must
+   * be returned as not run, so that entries send them elsewhere, and running ones must finish.
    */
   @Test
-  void leavingTargetHandsBackWhatWaitsAndFinishesWhatRuns() {
+  void returnsQueuedAndFinishesRunningAttemptsWhenLeaving() {
     dispatch("running");
     dispatch("waiting");
 
@@ -115,22 +115,23 @@
   }
 
   /**
-   * A planned stop cuts off an answer whose caller is on its way to another entry: the entry that
-   * read it was killed, and the agent took "no reader" for "all was read".
+   * Guards against a planned stop that cuts off an answer whose caller is about to resume through
+   * another entry. The entry that read the answer was killed; an answer without a reader must not
+   * count as fully read.
    */
   @Test
-  void answerWithoutReaderKeepsTheAgentUntilItsCallerHadTimeToReturn() {
+  void isNotIdleUntilOrphanTimeoutOfAnswerWithoutReader() {
     dispatch("a");
     runner.linkClosed(entry.link);
     backend.finish("a", "one");
 
     assertThat(runner.isIdle()).isFalse();
-    now = now.plus(ORPHAN_PATIENCE).plusSeconds(1);
+    now = now.plus(ORPHAN_TIMEOUT).plusSeconds(1);
     assertThat(runner.isIdle()).isTrue();
   }
 
   @Test
-  void callerJoinsItsAnswerThroughAnotherEntry() {
+  void sendsAnswerToEntryThatAttachesAfterFirstLinkClosed() {
     dispatch("a");
     runner.linkClosed(entry.link);
     FakeEntry other = new FakeEntry("entry-2");
@@ -142,7 +143,7 @@
   }
 
   @Test
-  void answerIsNotJoinedByAnotherWorkspace() {
+  void refusesAttachOfAnotherWorkspace() {
     dispatch("a");
     FakeEntry other = new FakeEntry("entry-2");
 
@@ -154,11 +155,11 @@
   }
 
   /**
-   * A resumed answer stops in the middle. The entry whose caller went away cancels the attempt ten
-   * seconds later, when that caller has long been reading on through another entry.
+   * Guards against a resumed answer that stops in the middle. The first entry cancels the attempt
+   * 10 seconds after its caller disconnected, but the caller has resumed through another entry.
    */
   @Test
-  void cancelOfAnEntryThatNoLongerReadsIsIgnored() {
+  void ignoresCancelFromEntryThatNoLongerReads() {
     dispatch("a");
     runner.attach(new FakeEntry("entry-2").link, attach("publisher"));
 
@@ -168,7 +169,7 @@
   }
 
   @Test
-  void callerCancelsItsOwnAnswerThroughAnyEntry() {
+  void cancelsForOwnWorkspaceThroughAnyEntry() {
     dispatch("a");
 
     runner.cancel(
@@ -179,21 +180,21 @@
   }
 
   @Test
-  void orphanedAttemptIsCancelledAfterItsPatience() {
+  void cancelsOrphanedAttemptAfterOrphanTimeout() {
     dispatch("a");
     runner.linkClosed(entry.link);
 
     runner.tick();
     assertThat(backend.cancelled).isZero();
-    now = now.plus(ORPHAN_PATIENCE).plusSeconds(1);
+    now = now.plus(ORPHAN_TIMEOUT).plusSeconds(1);
     runner.tick();
 
     assertThat(backend.cancelled).isEqualTo(1);
   }
 
-  /** A caller waits on although its deadline has passed: the engine hangs and never ends it. */
+  /** Guards against a caller that waits past its deadline because the engine hangs. */
   @Test
-  void answerPastItsDeadlineEndsAtOnce() {
+  void endsRunningAttemptPastItsDeadline() {
     dispatch("a");
     now = DEADLINE.plusMillis(1);
 
@@ -205,7 +206,7 @@
   }
 
   @Test
-  void waitingAttemptPastItsDeadlineIsHandedBackAsNotRun() {
+  void returnsQueuedAttemptPastItsDeadlineAsNotRun() {
     dispatch("running");
     dispatch("waiting");
     now = DEADLINE.plusMillis(1);
@@ -218,7 +219,7 @@
   }
 
   @Test
-  void fullQueueRefusesAsNotRun() {
+  void refusesAttemptAsNotRunWhenQueueIsFull() {
     dispatch("running");
     dispatch("waiting-1");
     dispatch("waiting-2");
