--- a/agent/src/main/java/dev/ibishub/agent/AgentLinks.java
+++ b/agent/src/main/java/dev/ibishub/agent/AgentLinks.java
@@ -13,7 +13,7 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The links of entries to this agent, and who takes each kind of frame. Thread-safe. */
+/** The open links from entries, with the dispatch of each frame to its handler. Thread-safe. */
 final class AgentLinks implements LinkListener {
   private final Set<Link> open = ConcurrentHashMap.newKeySet();
   private final AttemptRunner runner;
@@ -55,7 +55,7 @@
               .apply(frame.getGroupCommand())
               .thenAccept(reply -> link.offer(Frame.newBuilder().setGroupReply(reply).build()));
       default -> {
-        // A newer release's frame that this one has no use for.
+        // A frame kind of a newer release is ignored.
       }
     }
   }
@@ -66,7 +66,7 @@
     runner.linkClosed(link);
   }
 
-  /** Whether nothing waits to be sent any more. */
+  /** Returns whether all frames have been written to the links. */
   boolean isFlushed() {
     return open.stream().allMatch(Link::isFlushed);
   }
--- a/agent/src/main/java/dev/ibishub/agent/AnswerRelay.java
+++ b/agent/src/main/java/dev/ibishub/agent/AnswerRelay.java
@@ -14,12 +14,12 @@
 import java.util.Optional;
 
 /**
- * Sends one attempt's answer to one entry, never more chunks than the entry gave credit for: a
- * caller that reads slowly costs the entry and the link nothing, the rest waits in the buffer.
- * Thread-safe.
+ * Sends one attempt's answer to one entry under credit-based flow control: never more chunks than
+ * the entry has granted. The chunks for a slow caller stay in the agent's buffer and take no space
+ * in the entry or on the link. Thread-safe.
  */
 final class AnswerRelay {
-  private static final int BATCH = 64;
+  private static final int BATCH_CHUNKS = 64;
 
   private final Link link;
   private final StreamBuffer buffer;
@@ -46,7 +46,7 @@
     link.offer(Frame.newBuilder().setStarted(started).build());
   }
 
-  /** Takes more credit; what it covers goes out at once. */
+  /** Adds credit, in chunks, and sends what it covers. */
   void credit(int chunks) {
     synchronized (this) {
       credit += chunks;
@@ -56,7 +56,7 @@
     pump();
   }
 
-  /** Sends what the credit covers. */
+  /** Sends buffered chunks as far as the credit reaches, then the end if all chunks are sent. */
   synchronized void pump() {
     while (!finished && credit > 0) {
       List<NumberedChunk> chunks = read();
@@ -74,7 +74,7 @@
 
   private List<NumberedChunk> read() {
     try {
-      return buffer.read(next, (int) Math.min(credit, BATCH));
+      return buffer.read(next, (int) Math.min(credit, BATCH_CHUNKS));
     } catch (ResultException lost) {
       finish(AnswerEnd.failure(lost));
       return List.of();
--- a/agent/src/main/java/dev/ibishub/agent/Backend.java
+++ b/agent/src/main/java/dev/ibishub/agent/Backend.java
@@ -3,16 +3,16 @@
 import dev.ibishub.core.AnswerEnd;
 import java.util.concurrent.CompletableFuture;
 
-/** What stands behind the agent: runs attempts that have started. */
+/** The target behind the agent, which runs attempts that have started. */
 interface Backend {
   /**
-   * Runs an attempt; pieces of the answer go to {@link Attempt#append}.
+   * Runs an attempt and passes the pieces of its answer to {@link Attempt#append}.
    *
-   * @return the end of the answer; fails with a {@code ResultException}, whose code says "not run"
-   *     only where that is sure
+   * @return the end of the answer; fails with a {@code ResultException}, whose code means "not run"
+   *     only if the call certainly did not run
    */
   CompletableFuture<AnswerEnd> run(Attempt attempt);
 
-  /** Stops an attempt that runs, as far as what stands behind can be stopped. */
+  /** Stops a running attempt, if the target supports that. */
   void cancel(Attempt attempt);
 }
--- a/agent/src/main/java/dev/ibishub/agent/ModelBackend.java
+++ b/agent/src/main/java/dev/ibishub/agent/ModelBackend.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.locks.LockSupport;
 
-/** Runs attempts on the model engine beside this agent. */
+/** Runs attempts on the agent's model engine. */
 final class ModelBackend implements Backend {
   private static final long ROOM_POLL_NANOS = 2_000_000;
 
@@ -42,7 +42,9 @@
     engine.cancel(attempt.id());
   }
 
-  /** Holds the engine's connection back while the buffers are full of unread answers. */
+  /**
+   * Blocks while the buffers are full of unread answers, which applies backpressure to the engine.
+   */
   private void awaitRoom(Attempt attempt) {
     while (!buffers.hasRoom()
         && !attempt.isCancelled()
--- a/agent/src/test/java/dev/ibishub/agent/FakeBackend.java
+++ b/agent/src/test/java/dev/ibishub/agent/FakeBackend.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.concurrent.CompletableFuture;
 
-/** A backend whose attempts end when a test says so. */
+/** Backend whose attempts end when a test calls {@link #finish}. */
 final class FakeBackend implements Backend {
   final Map<String, CompletableFuture<AnswerEnd>> running = new LinkedHashMap<>();
   final Map<String, Attempt> attempts = new LinkedHashMap<>();
--- a/agent/src/test/java/dev/ibishub/agent/FakeEntry.java
+++ b/agent/src/test/java/dev/ibishub/agent/FakeEntry.java
@@ -13,7 +13,7 @@
 import java.util.function.Function;
 import java.util.function.Predicate;
 
-/** An entry's end of a link, which keeps all that the agent sends. */
+/** Entry side of a link that records every frame the agent sends. */
 final class FakeEntry {
   private final EmbeddedChannel channel = new EmbeddedChannel();
   final Link link;
