--- a/agent/src/main/java/dev/ibishub/agent/AgentMain.java
+++ b/agent/src/main/java/dev/ibishub/agent/AgentMain.java
@@ -10,17 +10,19 @@
 import java.io.IOException;
 import java.nio.file.Path;
 
-/** Command line of {@code ibishub-agent}. */
+/** Entry point of the program {@code ibishub-agent}. */
 public final class AgentMain {
   private AgentMain() {}
 
   /**
-   * Runs the agent until it is told to stop.
+   * Runs the agent until the process receives a stop signal, then drains it.
    *
    * @param arguments see {@code ibishub-agent --help}
    */
   public static void main(String[] arguments) throws IOException {
-    Path file = CommandLine.settingsFile("ibishub-agent", "The gate of one target.", arguments);
+    Path file =
+        CommandLine.settingsFile(
+            "ibishub-agent", "Queues and runs the requests of one target.", arguments);
     AgentSettings settings = readOrExit(file);
     LogSetup.configure(
         settings.logFormat() == LogFormat.JSON ? "json" : "key-value", settings.targetId());
--- a/agent/src/main/java/dev/ibishub/agent/AgentMetrics.java
+++ b/agent/src/main/java/dev/ibishub/agent/AgentMetrics.java
@@ -9,7 +9,7 @@
 import java.time.Instant;
 import java.util.function.DoubleSupplier;
 
-/** What an agent counts; docs/OPERATIONS.md says what each figure means. Thread-safe. */
+/** Metrics of an agent, described in {@code docs/OPERATIONS.md}. Thread-safe. */
 final class AgentMetrics {
   private static final double NANOS = 1e9;
 
--- a/agent/src/main/java/dev/ibishub/agent/TargetReporter.java
+++ b/agent/src/main/java/dev/ibishub/agent/TargetReporter.java
@@ -18,12 +18,13 @@
 import java.util.function.LongSupplier;
 
 /**
- * Tells the entries how the target stands. Figures of the engine are as old as the engine gives
- * them; what waits and runs here is as of now. Thread-safe.
+ * Builds the reports on the target's load and state that go to the entries. The engine's figures
+ * are as stale as the engine's own answers; the agent's queued and running counts are current.
+ * Thread-safe.
  */
 final class TargetReporter {
-  /** An engine that has not answered for this long takes no work. */
-  private static final Duration SILENCE = Duration.ofSeconds(3);
+  /** How long after its last answer an engine is considered reachable. */
+  private static final Duration REACHABLE_FOR = Duration.ofSeconds(3);
 
   private final AgentSettings settings;
   private final AttemptRunner runner;
@@ -49,14 +50,14 @@
     this.clock = clock;
   }
 
-  /** Asks the engine for its load; the answer goes into later reports. */
+  /** Requests the engine's load, for use in later reports. */
   void refreshLoad() {
     engine.ifPresent(
         present ->
             present.load().whenComplete((answer, thrown) -> load = Optional.ofNullable(answer)));
   }
 
-  /** Asks the engine what it has loaded. */
+  /** Requests what the engine has loaded; its answer also shows that the engine is reachable. */
   void refreshState() {
     engine.ifPresent(
         present ->
@@ -69,7 +70,7 @@
                     }));
   }
 
-  /** Asks the engine for cache events and passes them on. */
+  /** Requests new cache events from the engine and sends them as a report if there are any. */
   void refreshCache(Consumer<Frame> send) {
     engine.ifPresent(
         present ->
@@ -84,12 +85,12 @@
                     }));
   }
 
-  /** Whether the target can take work now. */
+  /** Returns whether the engine answered recently; always true for a plain service. */
   boolean isReachable() {
-    return engine.isEmpty() || answeredAt.plus(SILENCE).isAfter(clock.instant());
+    return engine.isEmpty() || answeredAt.plus(REACHABLE_FOR).isAfter(clock.instant());
   }
 
-  /** Returns the report of this moment. */
+  /** Returns a new report with the next sequence number. */
   Frame report() {
     TargetReport.Builder report =
         TargetReport.newBuilder()
--- a/agent/src/main/java/dev/ibishub/agent/package-info.java
+++ b/agent/src/main/java/dev/ibishub/agent/package-info.java
@@ -1,2 +1,5 @@
-/** ibishub-agent: the process beside each target. */
+/**
+ * The program {@code ibishub-agent}, which runs beside each target behind ibishub's own interface:
+ * queues the attempts that entries dispatch, runs them on the target and streams the answers back.
+ */
 package dev.ibishub.agent;
