--- a/agent/src/main/java/dev/ibishub/agent/Agent.java
+++ b/agent/src/main/java/dev/ibishub/agent/Agent.java
@@ -46,7 +46,10 @@
 import java.util.concurrent.locks.LockSupport;
 import java.util.function.Function;
 
-/** Wires, starts and stops the parts of an agent process. */
+/**
+ * An agent process behind ibishub's own interface: creates, starts and stops its parts. On the
+ * platform of its users, {@code dev.ibishub.node.AgentNode} has this role.
+ */
 public final class Agent {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
   private static final long REPORT_PERIOD_MILLIS = 100;
@@ -168,7 +171,7 @@
     every(TICK_PERIOD_MILLIS, runner::tick);
     every(REPORT_PERIOD_MILLIS, this::reportIfDue);
     every(STATE_PERIOD_MILLIS, reporter::refreshState);
-    every(STATE_PERIOD_MILLIS, this::handBackIfUnreachable);
+    every(STATE_PERIOD_MILLIS, this::returnQueuedIfUnreachable);
     every(STATE_PERIOD_MILLIS, () -> reporter.refreshCache(links::sendToAll));
     every(LIST_PERIOD_MILLIS, this::readMachineList);
     logger.atInfo().log(
@@ -201,9 +204,9 @@
    * Returns queued attempts to the entries while the engine does not answer. The links to the
    * entries stay up, so otherwise the attempts would wait here until their deadline.
    */
-  private void handBackIfUnreachable() {
+  private void returnQueuedIfUnreachable() {
     if (!reporter.isReachable()) {
-      runner.handBackQueued(ResultCode.TARGET_UNREACHABLE, "the engine does not answer");
+      runner.returnQueued(ResultCode.TARGET_UNREACHABLE, "the engine does not answer");
     }
   }
 
--- a/agent/src/main/java/dev/ibishub/agent/AgentMetrics.java
+++ b/agent/src/main/java/dev/ibishub/agent/AgentMetrics.java
@@ -25,7 +25,7 @@
           .help("Attempts that started and ended, by result code.")
           .labelNames("result")
           .register(registry);
-  private final Counter handedBack =
+  private final Counter notRun =
       Counter.builder()
           .name("ibishub_agent_attempts_not_run_total")
           .help("Attempts refused or handed back without a start, by result code.")
@@ -50,8 +50,8 @@
     seconds.observe(Duration.between(startedAt, now).toNanos() / NANOS);
   }
 
-  void handedBack(ResultCode code) {
-    handedBack.labelValues(code.name()).inc();
+  void notRun(ResultCode code) {
+    notRun.labelValues(code.name()).inc();
   }
 
   void gauge(String name, String help, DoubleSupplier value) {
--- a/agent/src/main/java/dev/ibishub/agent/AnswerRelay.java
+++ b/agent/src/main/java/dev/ibishub/agent/AnswerRelay.java
@@ -16,7 +16,7 @@
 /**
  * Sends one attempt's answer to one entry under credit-based flow control: never more chunks than
  * the entry has granted. The chunks for a slow caller stay in the agent's buffer and take no space
- * in the entry or on the link. Thread-safe.
+ * in the entry or on the link. Used behind ibishub's own interface. Thread-safe.
  */
 final class AnswerRelay {
   private static final int BATCH_CHUNKS = 64;
--- a/agent/src/main/java/dev/ibishub/agent/AttemptRunner.java
+++ b/agent/src/main/java/dev/ibishub/agent/AttemptRunner.java
@@ -167,16 +167,16 @@
   /** Starts draining: refuses new attempts and returns queued ones as not run. */
   void beginLeaving() {
     leaving = true;
-    handBackQueued(ResultCode.TARGET_LEAVING, "the target is leaving");
+    returnQueued(ResultCode.TARGET_LEAVING, "the target is leaving");
   }
 
   /** Returns queued attempts as not run, so that entries send them elsewhere. */
-  void handBackQueued(ResultCode code, String detail) {
+  void returnQueued(ResultCode code, String detail) {
     attempts.values().stream()
         .filter(attempt -> !attempt.done().isDone())
         .map(Attempt::id)
         .filter(id -> table.revoke(id, clock.instant()))
-        .forEach(id -> handBack(id, code, detail));
+        .forEach(id -> returnAsNotRun(id, code, detail));
   }
 
   /** Accepts attempts again after a drain was revoked. */
@@ -267,7 +267,7 @@
                 attempt));
     if (!queued) {
       table.revoke(attempt.id(), now);
-      handBack(attempt.id(), ResultCode.REVOKED, "the attempt is already queued");
+      returnAsNotRun(attempt.id(), ResultCode.REVOKED, "the attempt is already queued");
       return;
     }
     metrics.dispatched();
@@ -351,27 +351,27 @@
 
   private void expire(Attempt attempt, Instant now) {
     table.revoke(attempt.id(), now);
-    handBack(
+    returnAsNotRun(
         attempt.id(), ResultCode.DEADLINE_PASSED_QUEUED, "the deadline passed before the start");
   }
 
   private boolean revokeQueued(String attemptId) {
     boolean revoked = table.revoke(attemptId, clock.instant());
     if (revoked) {
-      handBack(attemptId, ResultCode.REVOKED, "revoked before the start");
+      returnAsNotRun(attemptId, ResultCode.REVOKED, "revoked before the start");
     }
     return revoked;
   }
 
   /** Ends an attempt that the table has revoked, so that it can no longer start. */
-  private void handBack(String attemptId, ResultCode code, String detail) {
+  private void returnAsNotRun(String attemptId, ResultCode code, String detail) {
     queue.remove(attemptId);
     Optional.ofNullable(attempts.get(attemptId))
         .filter(attempt -> !attempt.done().isDone())
         .ifPresent(
             attempt -> {
               attempt.end(AnswerEnd.failure(new ResultException(code, detail)));
-              metrics.handedBack(code);
+              metrics.notRun(code);
             });
   }
 
@@ -393,7 +393,7 @@
     if (table.offer(id, deadline, now) != OfferResult.QUEUED || !table.revoke(id, now)) {
       return;
     }
-    metrics.handedBack(code);
+    metrics.notRun(code);
     answer(link, id, code, detail);
   }
 
--- a/agent/src/main/java/dev/ibishub/agent/OrderHandler.java
+++ b/agent/src/main/java/dev/ibishub/agent/OrderHandler.java
@@ -46,7 +46,8 @@
 
   /**
    * Unloads a model. An unload would cut off answers in progress, so new attempts for the model are
-   * refused from now on, and the order goes to the engine only when none is queued or running.
+   * refused from now on, and the order goes to the engine only when none is queued or running. The
+   * model accepts attempts again when an unload has been answered by the engine.
    */
   private CompletableFuture<OrderReply> unload(OrderRequest order) {
     runner.blockModel(order.getModel());
--- a/agent/src/test/java/dev/ibishub/agent/ClaimWriterTest.java
+++ b/agent/src/test/java/dev/ibishub/agent/ClaimWriterTest.java
@@ -93,8 +93,7 @@
   @Test
   void losesToEarlierClaimOnTheLog() {
     // Guards against running a call twice: two agents claim its key at the same time, and one
-    // counts
-    // a successful append as a win without reading the records before it.
+    // counts a successful append as a win without reading the records before it.
     ClaimWriter writer = startedWriter();
     CompletableFuture<ClaimResult> claim = writer.claim(request("k", "a"));
     log.add(recordOf(OTHER, "k"));
