--- a/engines/src/main/java/dev/ibishub/engines/GenerationEnd.java
+++ b/engines/src/main/java/dev/ibishub/engines/GenerationEnd.java
@@ -3,9 +3,9 @@
 /**
  * How an answer ended.
  *
- * @param pieces how many pieces the whole answer has
- * @param promptTokens tokens of the prompt
- * @param generatedTokens tokens generated
+ * @param pieces the number of pieces in the complete answer
+ * @param promptTokens the number of tokens in the prompt
+ * @param generatedTokens the number of tokens generated
  * @param finishReason {@code stop}, {@code length} or {@code cancelled}
  */
 public record GenerationEnd(
--- a/engines/src/main/java/dev/ibishub/engines/GenerationLine.java
+++ b/engines/src/main/java/dev/ibishub/engines/GenerationLine.java
@@ -1,10 +1,10 @@
 package dev.ibishub.engines;
 
 /**
- * One line of a streamed generation: a piece, or the end.
+ * One line of a streamed generation: either a piece or the end.
  *
- * @param number the piece's number, absent in the end
- * @param text the piece's text, absent in the end
- * @param end how the answer ended, absent in a piece
+ * @param number the piece's number, null in the end line
+ * @param text the piece's text, null in the end line
+ * @param end how the answer ended, null in a piece
  */
 public record GenerationLine(Long number, String text, GenerationEnd end) {}
--- a/engines/src/main/java/dev/ibishub/engines/GenerationListener.java
+++ b/engines/src/main/java/dev/ibishub/engines/GenerationListener.java
@@ -1,13 +1,13 @@
 package dev.ibishub.engines;
 
-/** Takes the pieces of an answer as they come. */
+/** Receives the pieces of an answer as they arrive. */
 @FunctionalInterface
 public interface GenerationListener {
   /**
-   * Takes the next piece. Blocking here holds the engine's connection back.
+   * Handles the next piece. Blocking here applies backpressure to the engine.
    *
-   * @param number the piece's number, from 0 without gaps
-   * @param text the piece's text, one token or more
+   * @param number the piece's number, without gaps, starting at 0 or at the position of a resume
+   * @param text the piece's text, one or more tokens
    */
   void onPiece(long number, String text);
 }
--- a/engines/src/main/java/dev/ibishub/engines/GenerationReader.java
+++ b/engines/src/main/java/dev/ibishub/engines/GenerationReader.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.Flow;
 import java.util.function.Supplier;
 
-/** Reads the lines of one generation, one at a time. Not thread-safe; the client calls in order. */
+/**
+ * Reads the lines of one streamed generation and checks that the answer is complete. Not
+ * thread-safe: the HTTP client calls it sequentially.
+ */
 final class GenerationReader implements Flow.Subscriber<String> {
   private final GenerationListener listener;
   private long nextPiece;
@@ -25,7 +28,10 @@
     this.listener = listener;
   }
 
-  /** Reads a generation from a 200, and a refusal from any other status. */
+  /**
+   * Returns a body handler that reads a generation from status 200, and a refusal from any other.
+   * Its supplier returns the end of the answer or throws a {@link ResultException}.
+   */
   static BodyHandler<Supplier<GenerationEnd>> handler(
       long firstPiece, GenerationListener listener, OutboundHttp.Failures failures) {
     return response -> {
@@ -64,12 +70,12 @@
 
   @Override
   public void onError(Throwable throwable) {
-    // The client fails the whole call by itself; nothing is kept here.
+    // The client fails the whole call by itself.
   }
 
   @Override
   public void onComplete() {
-    // Judged in result(), once the client has handed over every line.
+    // result() decides, once the client has delivered every line.
   }
 
   private void accept(String line) {
@@ -81,29 +87,31 @@
         nextPiece++;
         listener.onPiece(next.number(), next.text());
       } else {
-        failure = broken("piece " + next.number() + " where " + nextPiece + " was due");
+        failure =
+            engineFailed("piece " + next.number() + " came where " + nextPiece + " was expected");
       }
     } catch (IOException e) {
-      failure = broken("unreadable line");
+      failure = engineFailed("unreadable line");
     }
   }
 
-  // A cut connection can look like an orderly end of the body. The end line alone says that the
-  // answer is whole, and its count must be the number of pieces read.
+  // A broken connection can look like a regular end of the body. Only the end line proves that the
+  // answer is complete, and its count must equal the number of pieces read.
   private GenerationEnd result() {
     if (failure != null) {
       throw failure;
     }
     if (end == null) {
-      throw broken("the answer broke off before its end, at piece " + nextPiece);
+      throw engineFailed("the answer stopped without an end line, at piece " + nextPiece);
     }
     if (end.pieces() != nextPiece) {
-      throw broken("the end tells of " + end.pieces() + " pieces, " + nextPiece + " were read");
+      throw engineFailed(
+          "the end line counts " + end.pieces() + " pieces, " + nextPiece + " were read");
     }
     return end;
   }
 
-  private static ResultException broken(String detail) {
+  private static ResultException engineFailed(String detail) {
     return new ResultException(ResultCode.ENGINE_FAILED, detail);
   }
 }
--- a/engines/src/test/java/dev/ibishub/engines/GenerationReaderTest.java
+++ b/engines/src/test/java/dev/ibishub/engines/GenerationReaderTest.java
@@ -19,8 +19,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A caller gets the first half of a definition as if it were all of it. The engine died, but a
- * device on the way ended the body in good order, so that HTTP shows nothing wrong.
+ * Guards against passing on a truncated answer as complete. An engine crashes in the middle of an
+ * answer, but a proxy ends the body regularly, so that the HTTP client reports no error.
  */
 class GenerationReaderTest {
   private static final OutboundHttp.Failures FAILURES =
@@ -31,35 +31,35 @@
   private final List<String> taken = new ArrayList<>();
 
   @Test
-  void aWholeAnswerIsTaken() {
+  void acceptsCompleteAnswer() {
     assertThat(read(200, FIRST + SECOND + end(2))).isEqualTo(ResultCode.OK);
     assertThat(taken).containsExactly("a", "b");
   }
 
   @Test
-  void anAnswerWithoutItsEndHasFailed() {
+  void failsWhenEndLineIsMissing() {
     assertThat(read(200, FIRST + SECOND)).isEqualTo(ResultCode.ENGINE_FAILED);
   }
 
   @Test
-  void anEndThatCountsMorePiecesHasFailed() {
+  void failsWhenEndLineCountsMorePiecesThanRead() {
     assertThat(read(200, FIRST + end(2))).isEqualTo(ResultCode.ENGINE_FAILED);
   }
 
   @Test
-  void aMissingPieceHasFailedAndNothingAfterItIsTaken() {
+  void failsOnMissingPieceAndDropsLaterOnes() {
     assertThat(read(200, SECOND + end(2))).isEqualTo(ResultCode.ENGINE_FAILED);
     assertThat(taken).isEmpty();
   }
 
   @Test
-  void aRefusalKeepsItsCode() {
+  void keepsResultCodeOfRefusal() {
     assertThat(read(404, "{\"error\":\"UNKNOWN_MODEL\",\"detail\":\"\"}"))
         .isEqualTo(ResultCode.UNKNOWN_MODEL);
   }
 
   @Test
-  void aRefusalWithoutACodeMayHaveRun() {
+  void treatsRefusalWithoutCodeAsEngineFailure() {
     assertThat(read(502, "<html>bad gateway</html>")).isEqualTo(ResultCode.ENGINE_FAILED);
   }
 
@@ -97,12 +97,12 @@
   private static final class Unlimited implements Flow.Subscription {
     @Override
     public void request(long count) {
-      // All that there is was handed over at once.
+      // The test delivers the whole body at once.
     }
 
     @Override
     public void cancel() {
-      // Nothing runs that could be stopped.
+      // The test has no transfer to stop.
     }
   }
 }
