--- a/engines/src/main/java/dev/ibishub/engines/HttpPlainService.java
+++ b/engines/src/main/java/dev/ibishub/engines/HttpPlainService.java
@@ -15,15 +15,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.stream.Collectors;
 
-/** A plain service by HTTP. Each call is sent once; the client's hidden retries are off. */
+/**
+ * Plain service client over HTTP. Each call is sent once, without the JDK client's automatic
+ * retries. Thread-safe.
+ */
 public final class HttpPlainService implements PlainService {
-  /** Names the call in the service's own logs. */
+  /** Header with the request id, which lets the service's logs be matched with ibishub's. */
   public static final String REQUEST_ID_HEADER = "Ibishub-Request-Id";
 
   private static final OutboundHttp.Failures FAILURES =
       new OutboundHttp.Failures(ResultCode.TARGET_UNREACHABLE, ResultCode.OUTCOME_UNKNOWN);
 
-  // Headers of one connection only, which no one hands on, and those that the client sets itself.
+  // Hop-by-hop headers, which must not be forwarded, and headers that the HTTP client sets itself.
   private static final Set<String> CONNECTION_HEADERS =
       Set.of(
           "connection",
@@ -47,10 +50,10 @@
   }
 
   /**
-   * Creates an adapter.
+   * Creates a client of one service.
    *
-   * @param base where the service listens, without a slash at the end
-   * @param client from {@link OutboundHttp#newClient}
+   * @param base the service's base URI, without a trailing slash
+   * @param client an HTTP client from {@link OutboundHttp#newClient}
    */
   public static HttpPlainService create(URI base, HttpClient client) {
     return new HttpPlainService(OutboundHttp.create(base, client));
--- a/engines/src/main/java/dev/ibishub/engines/PlainService.java
+++ b/engines/src/main/java/dev/ibishub/engines/PlainService.java
@@ -2,15 +2,14 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** A plain service beside the model engines. */
+/** Client of a plain service, which is any HTTP service that is not a model engine. */
 public interface PlainService {
   /**
-   * Makes one call, exactly once or not at all: an implementation never repeats it.
+   * Sends a call at most once: implementations never retry it.
    *
    * @param call the call
-   * @return the service's answer whatever its status; fails with {@code TARGET_UNREACHABLE} when
-   *     the call surely did not reach the service, and with {@code OUTCOME_UNKNOWN} when it may
-   *     have
+   * @return the service's answer, whatever its status; fails with {@code TARGET_UNREACHABLE} if the
+   *     call certainly did not reach the service, and with {@code OUTCOME_UNKNOWN} if it may have
    */
   CompletableFuture<ServiceAnswer> call(ServiceRequest call);
 }
--- a/engines/src/main/java/dev/ibishub/engines/ServiceAnswer.java
+++ b/engines/src/main/java/dev/ibishub/engines/ServiceAnswer.java
@@ -4,11 +4,11 @@
 import java.util.Map;
 
 /**
- * What a plain service answered.
+ * The answer of a plain service.
  *
  * @param status the HTTP status
- * @param headers end-to-end headers only
- * @param body the service's bytes
+ * @param headers the end-to-end headers only
+ * @param body the bytes of the body
  */
-@SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
+@SuppressWarnings("ArrayRecordComponent") // Only passed on, never compared or hashed.
 public record ServiceAnswer(int status, Map<String, List<String>> headers, byte[] body) {}
--- a/engines/src/main/java/dev/ibishub/engines/ServiceRequest.java
+++ b/engines/src/main/java/dev/ibishub/engines/ServiceRequest.java
@@ -5,16 +5,16 @@
 import java.util.Map;
 
 /**
- * A call of a plain service.
+ * A call to a plain service.
  *
- * @param requestId names the call in logs of both sides
+ * @param requestId identifies the call in the logs of both sides
  * @param method the HTTP method
- * @param pathAndQuery from the slash on
- * @param headers end-to-end headers only
- * @param body the caller's bytes
- * @param deadline after which the answer is no longer wanted
+ * @param pathAndQuery the path and query, starting with a slash
+ * @param headers the caller's headers; only end-to-end headers are sent
+ * @param body the bytes of the caller's body
+ * @param deadline the time after which the answer is no longer wanted
  */
-@SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
+@SuppressWarnings("ArrayRecordComponent") // Only passed on, never compared or hashed.
 public record ServiceRequest(
     String requestId,
     String method,
--- a/engines/src/test/java/dev/ibishub/engines/HttpPlainServiceTest.java
+++ b/engines/src/test/java/dev/ibishub/engines/HttpPlainServiceTest.java
@@ -34,11 +34,12 @@
   }
 
   /**
-   * A service answers one call, reads the next on the same connection and dies before it answers.
-   * The JDK's client would send a GET again by itself: the call runs twice and nobody is told.
+   * Guards against the JDK client's automatic retry of a GET, which runs a call twice without a
+   * trace. A service answers one call, reads the next on the same connection and closes it without
+   * an answer.
    */
   @Test
-  void aKeptConnectionThatClosesIsNotTriedAgain() throws Exception {
+  void doesNotRetryWhenKeptAliveConnectionCloses() throws Exception {
     try (ServerSocket server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress())) {
       executor.execute(() -> serve(server));
       URI base = URI.create("http://127.0.0.1:" + server.getLocalPort());
@@ -71,7 +72,7 @@
     }
   }
 
-  // Answers the first request of all and closes the connection upon any other.
+  // Answers only the very first request, and closes the connection at any later one.
   private void serveConnection(Socket socket) throws IOException {
     try (socket) {
       BufferedReader in =
