--- a/engines/src/main/java/dev/ibishub/engines/CacheEvents.java
+++ b/engines/src/main/java/dev/ibishub/engines/CacheEvents.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Cache events of an engine. Gaps show as missing sequence numbers.
+ * Prefix cache events of an engine. Lost events show as gaps in the sequence numbers.
  *
- * @param nextSequence from where to read on
- * @param events the events, oldest first
+ * @param nextSequence the sequence number from which to read next
+ * @param events the events, oldest first; may be empty
  */
 public record CacheEvents(long nextSequence, List<Event> events) {
   public CacheEvents {
@@ -14,11 +14,11 @@
   }
 
   /**
-   * A prefix came or went.
+   * A prefix that was cached or evicted.
    *
-   * @param sequence number of the event
-   * @param prefixHash hash of the prompt's prefix
-   * @param added true when cached, false when evicted
+   * @param sequence the sequence number of the event
+   * @param prefixHash the hash of the prompt's prefix, as {@link PromptPrefix#hash} returns it
+   * @param added true if cached, false if evicted
    */
   public record Event(long sequence, long prefixHash, boolean added) {}
 }
--- a/engines/src/main/java/dev/ibishub/engines/EngineOrder.java
+++ b/engines/src/main/java/dev/ibishub/engines/EngineOrder.java
@@ -1,11 +1,12 @@
 package dev.ibishub.engines;
 
 /**
- * An order to an engine.
+ * An order to an engine to change what it has loaded or its role.
  *
- * @param orderId unique name; an engine that has done it answers with its state
- * @param kind what to do
- * @param fencingToken number of whoever gives the order
+ * @param orderId the unique id; an engine that has already carried the order out only returns its
+ *     state
+ * @param kind the action
+ * @param fencingToken the fencing token of the sender
  * @param model the model concerned, or empty
  * @param adapter the adapter concerned, or empty
  * @param version the version concerned, or empty
@@ -19,7 +20,7 @@
     String adapter,
     String version,
     String role) {
-  /** What an order asks for. */
+  /** The action that an order requests. */
   public enum Kind {
     LOAD,
     UNLOAD,
--- a/engines/src/main/java/dev/ibishub/engines/HttpModelEngine.java
+++ b/engines/src/main/java/dev/ibishub/engines/HttpModelEngine.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A model engine by HTTP, as {@code docs/PLATFORM-PROTOCOLS.md} describes it. Thread-safe.
+ * Model engine client over HTTP, as described in {@code docs/PLATFORM-PROTOCOLS.md}. Thread-safe.
  *
- * <p>Pieces are read one line at a time on the client's executor. The next line is asked for when
- * the listener returns, so a listener that blocks holds the engine's connection back.
+ * <p>Pieces are read one line at a time on the client's executor. The next line is requested when
+ * the listener returns, so a listener that blocks applies backpressure to the engine.
  */
 public final class HttpModelEngine implements ModelEngine {
   private static final Duration CONTROL_TIMEOUT = Duration.ofSeconds(3);
@@ -35,10 +35,10 @@
   }
 
   /**
-   * Creates an adapter.
+   * Creates a client of one engine.
    *
-   * @param base where the engine listens, without a slash at the end
-   * @param client from {@link OutboundHttp#newClient}
+   * @param base the engine's base URI, without a trailing slash
+   * @param client an HTTP client from {@link OutboundHttp#newClient}
    */
   public static HttpModelEngine create(URI base, HttpClient client) {
     return new HttpModelEngine(OutboundHttp.create(base, client));
--- a/engines/src/main/java/dev/ibishub/engines/ModelEngine.java
+++ b/engines/src/main/java/dev/ibishub/engines/ModelEngine.java
@@ -3,44 +3,44 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * A model engine: one replica, or one rank of a group. Implementations are thread-safe and never
- * repeat a call by themselves.
+ * Client of a model engine, which is one replica or one rank of a group. Implementations are
+ * thread-safe and never retry a call by themselves.
  */
 public interface ModelEngine {
   /**
-   * Starts an answer. Pieces go to the listener in order, on one thread at a time.
+   * Generates an answer. The pieces go to the listener in order, never concurrently.
    *
-   * @param call what to generate; its stream id names the answer in {@link #resume} and {@link
+   * @param call what to generate; its stream id identifies the answer in {@link #resume} and {@link
    *     #cancel}
-   * @param listener takes the pieces
-   * @return how the answer ended; fails with {@code TARGET_UNREACHABLE} when the engine surely did
-   *     not take the call, and with {@code ENGINE_FAILED} when it may have
+   * @param listener receives the pieces
+   * @return how the answer ended; fails with {@code TARGET_UNREACHABLE} if the engine certainly did
+   *     not receive the call, and with {@code ENGINE_FAILED} if it may have
    */
   CompletableFuture<GenerationEnd> generate(GenerationCall call, GenerationListener listener);
 
   /**
-   * Joins an answer again, from a piece on. Engines that cannot resume fail with {@code
+   * Resumes an answer from the given piece. Engines that cannot resume fail with {@code
    * STREAM_POSITION_LOST}.
    */
   CompletableFuture<GenerationEnd> resume(
       String streamId, long fromPiece, GenerationListener listener);
 
-  /** Stops an answer; one that the engine does not know is no error. */
+  /** Stops an answer; does nothing if the engine does not know it. */
   CompletableFuture<Void> cancel(String streamId);
 
-  /** Reads the engine's load, which the engine reports with a lag. */
+  /** Reads the engine's load, which is stale by the engine's reporting lag. */
   CompletableFuture<EngineLoad> load();
 
-  /** Reads cache events from a sequence number on; they come late and with gaps. */
+  /** Reads cache events from a sequence number on; they are delayed and may have gaps. */
   CompletableFuture<CacheEvents> cacheEvents(long fromSequence);
 
-  /** Reads what the engine has loaded and the highest fencing token it keeps, if it keeps one. */
+  /** Reads what the engine has loaded and, if the engine keeps it, the highest fencing token. */
   CompletableFuture<EngineState> state();
 
   /**
-   * Gives an order. An engine that checks fencing tokens refuses a lower one with {@code
-   * STALE_FENCING_TOKEN}; others obey any. Fails with {@code ORDER_UNDECIDED} when the answer was
-   * lost and the order may have taken effect.
+   * Sends an order. An engine that checks fencing tokens refuses a token below the highest one with
+   * {@code STALE_FENCING_TOKEN}; other engines obey any. Fails with {@code ORDER_UNDECIDED} if the
+   * answer was lost and the order may have taken effect.
    */
   CompletableFuture<EngineState> order(EngineOrder order);
 
@@ -48,9 +48,9 @@
   CompletableFuture<RankState> rank();
 
   /**
-   * Gives an order about the expert map. A hold or commit for a step that has begun is refused with
-   * {@code STEP_ALREADY_PASSED}, a commit of a map not staged with {@code MAP_NOT_STAGED}. A commit
-   * ends the hold of its own step and no other.
+   * Sends an order about the expert map. A hold or commit for a step that has begun is refused with
+   * {@code STEP_ALREADY_PASSED}, and a commit of a map that is not staged with {@code
+   * MAP_NOT_STAGED}. A commit ends only the hold of its own step.
    */
   CompletableFuture<RankState> orderRank(RankOrder order);
 }
