--- a/engines/src/main/java/dev/ibishub/engines/RankOrder.java
+++ b/engines/src/main/java/dev/ibishub/engines/RankOrder.java
@@ -1,17 +1,17 @@
 package dev.ibishub.engines;
 
 /**
- * An order about a rank's expert map.
+ * An order about a rank's expert map, to an engine behind ibishub's own interface.
  *
- * @param kind what to do
- * @param fencingToken the leader's epoch
- * @param mapVersion the map concerned, for stage and commit
- * @param step the step concerned: not to be begun (hold), the first with the new map (commit)
+ * @param kind the action
+ * @param fencingToken the epoch of the group's leader
+ * @param mapVersion the version of the map to stage or commit
+ * @param step for hold, the step that must not begin; for commit, the first step with the new map
  * @param map the map's bytes, for stage
  */
-@SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
+@SuppressWarnings("ArrayRecordComponent") // Only passed on, never compared or hashed.
 public record RankOrder(Kind kind, long fencingToken, long mapVersion, long step, byte[] map) {
-  /** What an order asks for. */
+  /** The action that an order requests. */
   public enum Kind {
     STAGE,
     HOLD,
--- a/engines/src/main/java/dev/ibishub/engines/package-info.java
+++ b/engines/src/main/java/dev/ibishub/engines/package-info.java
@@ -1,2 +1,5 @@
-/** Model engines and plain services, each behind one interface with an HTTP adapter. */
+/**
+ * Clients of model engines and plain services: one interface for each, with an HTTP implementation.
+ * Used behind ibishub's own interface.
+ */
 package dev.ibishub.engines;
