--- a/outbound/src/main/java/dev/ibishub/outbound/OutboundHttp.java
+++ b/outbound/src/main/java/dev/ibishub/outbound/OutboundHttp.java
@@ -22,24 +22,25 @@
 import java.util.concurrent.Executor;
 
 /**
- * What the HTTP adapters share: the client without hidden retries, and the mapping of failures to
- * result codes. Thread-safe.
+ * HTTP code shared by the clients: a JDK client without automatic retries, and the mapping of
+ * failures to result codes. Thread-safe.
  */
 public final class OutboundHttp {
   private static final Duration CONNECT_TIMEOUT = Duration.ofSeconds(1);
   private static final Duration SHORTEST_TIMEOUT = Duration.ofMillis(1);
 
   static {
-    // The JDK's client repeats requests by itself: after a failed connect, and after a kept
-    // connection that closed before an answer. A repeated append or service call would run twice,
-    // and nobody would see it. These properties are read when the client's inner classes load, so
-    // they are set here, before this class builds the first client.
+    // The JDK client retries requests by itself after a failed connect, and after a kept-alive
+    // connection closed before an answer. A retried append or service call would run twice without
+    // a trace. The properties are read when the client's internal classes load, so they must be set
+    // before this class builds the first client.
     System.setProperty("jdk.httpclient.disableRetryConnect", "true");
     System.setProperty("jdk.httpclient.enableAllMethodRetry", "false");
-    // GET is still repeated after a closed connection unless one attempt is the limit.
+    // GET is still retried after a closed connection unless the limit is one attempt.
     System.setProperty("jdk.httpclient.redirects.retrylimit", "1");
-    // The JDK's server closes a connection idle for 30 s. A client that keeps it longer sends into
-    // the closing connection, and the call ends as "outcome unknown" for no fault of the target.
+    // The JDK server closes connections that are idle for 30 s. A client that keeps them longer may
+    // send into a closing connection, and the call fails as "outcome unknown" although the target
+    // is healthy.
     System.setProperty("jdk.httpclient.keepalive.timeout", "20");
   }
 
@@ -47,10 +48,10 @@
   private final HttpClient client;
 
   /**
-   * What a call fails with.
+   * The result codes with which a call fails when no usable answer arrives.
    *
-   * @param notReached when the request surely was not written
-   * @param unknown when it may have been
+   * @param notReached the code if the request was certainly not written
+   * @param unknown the code if the request may have been written
    */
   public record Failures(ResultCode notReached, ResultCode unknown) {}
 
@@ -64,13 +65,13 @@
   }
 
   /**
-   * Builds the client that every adapter of a process shares: HTTP/1.1, no hidden retries, no
-   * redirects.
+   * Builds the JDK client that all clients of a process share: HTTP/1.1, without automatic retries
+   * or redirects.
    *
-   * @param executor runs listeners, which may block; so it has no fixed number of threads
+   * @param executor runs listeners, which may block, so it must not have a fixed number of threads
    */
   public static HttpClient newClient(Executor executor) {
-    // Without this the client offers HTTP/2 on clear text with the first request.
+    // Without a fixed version the client offers an upgrade to HTTP/2 on unencrypted connections.
     return HttpClient.newBuilder()
         .version(HttpClient.Version.HTTP_1_1)
         .followRedirects(HttpClient.Redirect.NEVER)
@@ -79,19 +80,19 @@
         .build();
   }
 
-  /** Encodes one segment of a path. */
+  /** Percent-encodes one segment of a path. */
   public static String encode(String segment) {
     return URLEncoder.encode(segment, StandardCharsets.UTF_8).replace("+", "%20");
   }
 
-  /** Starts a request for a path under the base, to be answered before the deadline. */
+  /** Returns a request builder for a path under the base URI, with a timeout at the deadline. */
   public HttpRequest.Builder request(String pathAndQuery, Instant deadline) {
     Duration left = Duration.between(Instant.now(), deadline);
     return HttpRequest.newBuilder(URI.create(base + pathAndQuery))
         .timeout(left.compareTo(SHORTEST_TIMEOUT) < 0 ? SHORTEST_TIMEOUT : left);
   }
 
-  /** Sends a request once; fails with a {@link ResultException} when no answer came. */
+  /** Sends a request once; fails with a {@link ResultException} if no answer arrived. */
   public <T> CompletableFuture<HttpResponse<T>> send(
       HttpRequest request, BodyHandler<T> handler, Failures failures) {
     return client
@@ -100,13 +101,19 @@
             failure -> CompletableFuture.failedFuture(exceptionOf(request, failure, failures)));
   }
 
-  /** Sends a request once and reads its answer as JSON, or as nothing for {@code Void}. */
+  /**
+   * Sends a request once and reads its answer as JSON. For {@code Void} the body is ignored and the
+   * result is null. Fails with a {@link ResultException} for a status other than 2xx.
+   */
   public <T> CompletableFuture<T> call(HttpRequest request, Class<T> type, Failures failures) {
     return send(request, BodyHandlers.ofByteArray(), failures)
         .thenApply(response -> answerOf(response, type, failures));
   }
 
-  /** Reads a refusal; one that names no known result code may have done its work. */
+  /**
+   * Converts an error response to an exception. A response without a known result code gets the
+   * code {@link Failures#unknown}, because the call may have taken effect.
+   */
   public static ResultException refusalOf(int status, byte[] body, Failures failures) {
     try {
       ErrorBody error = OutboundJson.read(body, ErrorBody.class);
@@ -118,7 +125,7 @@
         return new ResultException(code.get(), error.detail(), retryAt(error));
       }
     } catch (IOException ignored) {
-      // Not our protocol's refusal: handled below as an answer that says nothing.
+      // Not an error body of this protocol: handled below like an unknown code.
     }
     return new ResultException(failures.unknown(), "answered with status " + status);
   }
@@ -141,8 +148,8 @@
     }
   }
 
-  // A refused or timed-out connect wrote no byte of the request; after anything else the target may
-  // have read all of it.
+  // If the connect failed or timed out, no byte of the request was written. After any other failure
+  // the target may have read the whole request.
   private static Throwable exceptionOf(HttpRequest request, Throwable failure, Failures failures) {
     Throwable cause =
         failure instanceof CompletionException && failure.getCause() != null
--- a/outbound/src/main/java/dev/ibishub/outbound/OutboundJson.java
+++ b/outbound/src/main/java/dev/ibishub/outbound/OutboundJson.java
@@ -16,8 +16,8 @@
 import java.time.Instant;
 
 /**
- * The JSON of the platform's protocols: records by their component names, instants as milliseconds
- * since the epoch, bytes in base64, unknown keys skipped. Thread-safe.
+ * JSON mapping of the platform's protocols: records by their component names, instants as
+ * milliseconds since the epoch, bytes in base64; unknown keys are ignored. Thread-safe.
  */
 public final class OutboundJson {
   private static final ObjectMapper MAPPER =
@@ -41,9 +41,9 @@
   }
 
   /**
-   * Reads a value.
+   * Reads a value from UTF-8 JSON.
    *
-   * @throws IOException when the bytes are no JSON of that type
+   * @throws IOException if the bytes are not valid JSON of that type, or are {@code null}
    */
   public static <T> T read(byte[] json, Class<T> type) throws IOException {
     T value = MAPPER.readValue(json, type);
@@ -54,9 +54,9 @@
   }
 
   /**
-   * Reads a value from text.
+   * Reads a value from JSON text; null for the JSON value {@code null}.
    *
-   * @throws IOException when the text is no JSON of that type
+   * @throws IOException if the text is not valid JSON of that type
    */
   public static <T> T read(String json, Class<T> type) throws IOException {
     return MAPPER.readValue(json, type);
@@ -65,7 +65,7 @@
   /**
    * Reads any JSON as a tree.
    *
-   * @throws IOException when the bytes are no JSON
+   * @throws IOException if the bytes are not valid JSON
    */
   public static JsonNode readTree(byte[] json) throws IOException {
     return MAPPER.readTree(json);
