--- a/outbound/src/main/java/dev/ibishub/outbound/HttpAppendOnlyLog.java
+++ b/outbound/src/main/java/dev/ibishub/outbound/HttpAppendOnlyLog.java
@@ -9,7 +9,8 @@
 import java.util.concurrent.CompletableFuture;
 
 /**
- * The append-only log by HTTP, as {@code docs/PLATFORM-PROTOCOLS.md} describes it. Thread-safe.
+ * Append-only log client over HTTP, as described in {@code docs/PLATFORM-PROTOCOLS.md}.
+ * Thread-safe.
  *
  * <pre>{@code
  * AppendOnlyLog log = HttpAppendOnlyLog.create(base, OutboundHttp.newClient(executor));
@@ -29,7 +30,7 @@
   /**
    * The answer to an append.
    *
-   * @param offset where the record stands
+   * @param offset the record's offset in its stream
    */
   public record Appended(long offset) {}
 
@@ -38,10 +39,10 @@
   }
 
   /**
-   * Creates an adapter.
+   * Creates a client of the log service.
    *
-   * @param base where the log service listens, without a slash at the end
-   * @param client from {@link OutboundHttp#newClient}
+   * @param base the log service's base URI, without a trailing slash
+   * @param client an HTTP client from {@link OutboundHttp#newClient}
    */
   public static HttpAppendOnlyLog create(URI base, HttpClient client) {
     return new HttpAppendOnlyLog(OutboundHttp.create(base, client));
--- a/outbound/src/main/java/dev/ibishub/outbound/LogPage.java
+++ b/outbound/src/main/java/dev/ibishub/outbound/LogPage.java
@@ -5,10 +5,10 @@
 /**
  * Records read from a stream, in offset order.
  *
- * @param firstKept the lowest offset that retention has left
- * @param nextOffset the offset that the next append will get; reading is complete when it is
- *     reached
- * @param records the records read
+ * @param firstKept the lowest offset whose record has not expired
+ * @param nextOffset the offset that the next append will get; a reader that has reached it has read
+ *     the whole stream
+ * @param records the records read; may be empty
  */
 public record LogPage(long firstKept, long nextOffset, List<LogRecord> records) {
   public LogPage {
--- a/outbound/src/main/java/dev/ibishub/outbound/LogRecord.java
+++ b/outbound/src/main/java/dev/ibishub/outbound/LogRecord.java
@@ -5,9 +5,9 @@
 /**
  * One record of the log.
  *
- * @param offset position in its stream
- * @param appendedAt when the log service took it, by the service's clock
- * @param payload the bytes appended; not to be changed
+ * @param offset the position in its stream
+ * @param appendedAt when the log service appended the record, by the service's clock
+ * @param payload the bytes appended; must not be modified
  */
-@SuppressWarnings("ArrayRecordComponent") // Records are handed on, never compared or hashed.
+@SuppressWarnings("ArrayRecordComponent") // Only passed on, never compared or hashed.
 public record LogRecord(long offset, Instant appendedAt, byte[] payload) {}
