--- a/outbound/src/main/java/dev/ibishub/outbound/HttpVirtualMachineList.java
+++ b/outbound/src/main/java/dev/ibishub/outbound/HttpVirtualMachineList.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** The platform's VM list by HTTP, as {@code docs/PLATFORM-PROTOCOLS.md} describes it. */
+/** VM list client over HTTP, as described in {@code docs/PLATFORM-PROTOCOLS.md}. Thread-safe. */
 public final class HttpVirtualMachineList implements VirtualMachineList {
   private static final Duration TIMEOUT = Duration.ofSeconds(3);
   private static final OutboundHttp.Failures FAILURES =
@@ -21,10 +21,10 @@
   }
 
   /**
-   * Creates an adapter.
+   * Creates a client of the VM list.
    *
-   * @param base where the list is served, without a slash at the end
-   * @param client from {@link OutboundHttp#newClient}
+   * @param base the base URI of the service, without a trailing slash
+   * @param client an HTTP client from {@link OutboundHttp#newClient}
    */
   public static HttpVirtualMachineList create(URI base, HttpClient client) {
     return new HttpVirtualMachineList(OutboundHttp.create(base, client));
--- a/outbound/src/main/java/dev/ibishub/outbound/HttpWeightStore.java
+++ b/outbound/src/main/java/dev/ibishub/outbound/HttpWeightStore.java
@@ -8,11 +8,13 @@
 import java.time.Instant;
 import java.util.concurrent.CompletableFuture;
 
-/** The weight store by HTTP, as {@code docs/PLATFORM-PROTOCOLS.md} describes it. */
+/**
+ * Weight store client over HTTP, as described in {@code docs/PLATFORM-PROTOCOLS.md}. Thread-safe.
+ */
 public final class HttpWeightStore implements WeightStore {
   private static final Duration TIMEOUT = Duration.ofSeconds(3);
-  // A lost answer may have used up the reservation. Asking again later only costs rate, so both
-  // cases are told as busy.
+  // If the answer was lost, the store may have granted the reservation. A second reservation only
+  // wastes some of the store's rate, so both failures are reported as busy.
   private static final OutboundHttp.Failures FAILURES =
       new OutboundHttp.Failures(ResultCode.WEIGHT_STORE_BUSY, ResultCode.WEIGHT_STORE_BUSY);
 
@@ -23,10 +25,10 @@
   }
 
   /**
-   * Creates an adapter.
+   * Creates a client of the weight store.
    *
-   * @param base where the store listens, without a slash at the end
-   * @param client from {@link OutboundHttp#newClient}
+   * @param base the store's base URI, without a trailing slash
+   * @param client an HTTP client from {@link OutboundHttp#newClient}
    */
   public static HttpWeightStore create(URI base, HttpClient client) {
     return new HttpWeightStore(OutboundHttp.create(base, client));
--- a/outbound/src/main/java/dev/ibishub/outbound/VirtualMachineList.java
+++ b/outbound/src/main/java/dev/ibishub/outbound/VirtualMachineList.java
@@ -3,12 +3,12 @@
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 
-/** The platform's list of live and leaving VMs. It lags, so it is only ever a hint. */
+/** Client of the platform's list of live and leaving VMs. The list is stale, so only a hint. */
 public interface VirtualMachineList {
   /**
-   * Reads the list as the platform knows it now.
+   * Reads the current list.
    *
-   * @return the VMs; fails with {@code TARGET_UNREACHABLE} when the list cannot be had
+   * @return the VMs; fails with {@code TARGET_UNREACHABLE} if the list cannot be read
    */
   CompletableFuture<List<VirtualMachine>> read();
 }
--- a/outbound/src/main/java/dev/ibishub/outbound/WeightReservation.java
+++ b/outbound/src/main/java/dev/ibishub/outbound/WeightReservation.java
@@ -1,9 +1,9 @@
 package dev.ibishub.outbound;
 
 /**
- * What an engine means to read from the weight store.
+ * A reservation of bandwidth at the weight store for weights that an engine will fetch.
  *
  * @param weights the name of a model, adapter, version or expert
- * @param bytes how much will be read
+ * @param bytes the number of bytes to fetch
  */
 public record WeightReservation(String weights, long bytes) {}
--- a/outbound/src/main/java/dev/ibishub/outbound/package-info.java
+++ b/outbound/src/main/java/dev/ibishub/outbound/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Clients of the services outside: log, VM list and weight store, each behind one interface, and
- * the HTTP and JSON that all clients share.
+ * Clients of the platform's log, VM list and weight store, each with one interface and an HTTP
+ * implementation, and the HTTP and JSON code that all clients share. Used behind ibishub's own
+ * interface.
  */
 package dev.ibishub.outbound;
