--- a/agent/src/main/java/dev/ibishub/agent/ClaimBucket.java
+++ b/agent/src/main/java/dev/ibishub/agent/ClaimBucket.java
@@ -176,7 +176,7 @@
       if (failure == null && offset == nextOffset) {
         // All earlier records have been read, so the claims can be decided without reading back.
         apply(offset, batch, now, completions);
-      } else if (failure != null && isSurelyNotAppended(failure)) {
+      } else if (failure != null && isCertainlyNotAppended(failure)) {
         ResultException refusal =
             refusal(ResultCode.LOG_UNAVAILABLE, "the log is unavailable for claims", now);
         batch.forEach(
@@ -245,7 +245,7 @@
     return new ResultException(code, detail, now.plus(options.patience()));
   }
 
-  private static boolean isSurelyNotAppended(Throwable failure) {
+  private static boolean isCertainlyNotAppended(Throwable failure) {
     Throwable cause = failure.getCause() == null ? failure : failure.getCause();
     return cause instanceof ResultException known && known.code() == ResultCode.LOG_UNAVAILABLE;
   }
