--- a/agent/src/main/java/dev/ibishub/agent/AgentMetrics.java
+++ b/agent/src/main/java/dev/ibishub/agent/AgentMetrics.java
@@ -9,7 +9,7 @@
 import java.time.Instant;
 import java.util.function.DoubleSupplier;
 
-/** What an agent counts; docs/OPERATIONS.md says what each figure means. Thread-safe. */
+/** Metrics of an agent, described in {@code docs/OPERATIONS.md}. Thread-safe. */
 final class AgentMetrics {
   private static final double NANOS = 1e9;
 
@@ -25,7 +25,7 @@
           .help("Attempts that started and ended, by result code.")
           .labelNames("result")
           .register(registry);
-  private final Counter handedBack =
+  private final Counter notRun =
       Counter.builder()
           .name("ibishub_agent_attempts_not_run_total")
           .help("Attempts refused or handed back without a start, by result code.")
@@ -50,8 +50,8 @@
     seconds.observe(Duration.between(startedAt, now).toNanos() / NANOS);
   }
 
-  void handedBack(ResultCode code) {
-    handedBack.labelValues(code.name()).inc();
+  void notRun(ResultCode code) {
+    notRun.labelValues(code.name()).inc();
   }
 
   void gauge(String name, String help, DoubleSupplier value) {
