--- a/administration/src/main/java/dev/ibishub/administration/ConfigurationCodec.java
+++ b/administration/src/main/java/dev/ibishub/administration/ConfigurationCodec.java
@@ -26,42 +26,43 @@
 import java.util.zip.GZIPOutputStream;
 
 /**
- * The bytes of the records of the stream {@code configuration}: JSON, compressed. The form is the
- * same in every release, as readers of two releases must reach the same verdict on a record.
+ * Encoder and decoder of the records of the stream {@code configuration}: JSON, compressed with
+ * gzip. The format must stay the same in every release, because readers of different releases must
+ * reach the same verdict on a record.
  */
 public final class ConfigurationCodec {
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static final int MAXIMUM_BYTES = 64 << 20;
+  private static final int MAXIMUM_DECODED_BYTES = 64 << 20;
 
   private ConfigurationCodec() {}
 
-  /** Writes a record. */
+  /** Encodes a record. */
   public static byte[] encode(ConfigurationRecord record) {
     ObjectNode node =
         record instanceof ConfigurationChange change
-            ? change(change)
-            : snapshot((ConfigurationSnapshot) record);
+            ? changeToJson(change)
+            : snapshotToJson((ConfigurationSnapshot) record);
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     try (GZIPOutputStream gzip = new GZIPOutputStream(bytes)) {
       gzip.write(MAPPER.writeValueAsBytes(node));
     } catch (IOException e) {
-      throw new UncheckedIOException("writing to memory failed", e);
+      throw new UncheckedIOException("cannot encode a configuration record", e);
     }
     return bytes.toByteArray();
   }
 
   /**
-   * Reads a record.
+   * Decodes a record.
    *
-   * @param bytes what the log or a peer gave
-   * @return the record, or empty for bytes that are none
+   * @param bytes the bytes from the log or from a peer
+   * @return the record, or empty if the bytes are not a valid record
    */
   public static Optional<ConfigurationRecord> decode(byte[] bytes) {
     try (GZIPInputStream gzip = new GZIPInputStream(new ByteArrayInputStream(bytes))) {
-      JsonNode node = MAPPER.readTree(new String(gzip.readNBytes(MAXIMUM_BYTES), UTF_8));
+      JsonNode node = MAPPER.readTree(new String(gzip.readNBytes(MAXIMUM_DECODED_BYTES), UTF_8));
       return switch (node.path("kind").asText()) {
-        case "change" -> Optional.of(change(node));
-        case "snapshot" -> Optional.of(snapshot(node));
+        case "change" -> Optional.of(changeFromJson(node));
+        case "snapshot" -> Optional.of(snapshotFromJson(node));
         default -> Optional.empty();
       };
     } catch (IOException | DateTimeException | IllegalArgumentException e) {
@@ -69,14 +70,14 @@
     }
   }
 
-  /** Reads a snapshot that a peer sent; empty for bytes that are none. */
+  /** Decodes a snapshot that a peer sent; empty if the bytes are not a valid snapshot. */
   public static Optional<ConfigurationSnapshot> decodeSnapshot(byte[] bytes) {
     return decode(bytes)
         .filter(ConfigurationSnapshot.class::isInstance)
         .map(ConfigurationSnapshot.class::cast);
   }
 
-  private static ObjectNode change(ConfigurationChange change) {
+  private static ObjectNode changeToJson(ConfigurationChange change) {
     return MAPPER
         .createObjectNode()
         .put("kind", "change")
@@ -91,7 +92,7 @@
         .put("text", change.text());
   }
 
-  private static ConfigurationChange change(JsonNode node) {
+  private static ConfigurationChange changeFromJson(JsonNode node) {
     return new ConfigurationChange(
         node.path("recordId").asText(),
         node.path("site").asText(),
@@ -104,7 +105,7 @@
         node.path("text").asText());
   }
 
-  private static ObjectNode snapshot(ConfigurationSnapshot snapshot) {
+  private static ObjectNode snapshotToJson(ConfigurationSnapshot snapshot) {
     ConfigurationState state = snapshot.state();
     ObjectNode node =
         MAPPER
@@ -121,11 +122,11 @@
     ObjectNode overlays = node.putObject("overlays");
     state.overlays().forEach(overlays::put);
     ArrayNode events = node.putArray("events");
-    snapshot.recentEvents().forEach(event -> events.add(event(event)));
+    snapshot.recentEvents().forEach(event -> events.add(eventToJson(event)));
     return node;
   }
 
-  private static ConfigurationSnapshot snapshot(JsonNode node) {
+  private static ConfigurationSnapshot snapshotFromJson(JsonNode node) {
     Map<String, String> overlays = new TreeMap<>();
     node.path("overlays")
         .properties()
@@ -140,12 +141,12 @@
             Instant.parse(node.path("at").asText()),
             node.path("hash").asText());
     List<ConfigurationEvent> events = new ArrayList<>();
-    node.path("events").forEach(event -> events.add(event(event)));
+    node.path("events").forEach(event -> events.add(eventFromJson(event)));
     return new ConfigurationSnapshot(
         node.path("recordId").asText(), node.path("nextOffset").asLong(), state, events);
   }
 
-  private static ObjectNode event(ConfigurationEvent event) {
+  private static ObjectNode eventToJson(ConfigurationEvent event) {
     return MAPPER
         .createObjectNode()
         .put("offset", event.offset())
@@ -159,7 +160,7 @@
         .put("detail", event.detail());
   }
 
-  private static ConfigurationEvent event(JsonNode node) {
+  private static ConfigurationEvent eventFromJson(JsonNode node) {
     return new ConfigurationEvent(
         node.path("offset").asLong(),
         node.path("recordId").asText(),
