--- a/administration/src/main/java/dev/ibishub/administration/ConfigurationFollower.java
+++ b/administration/src/main/java/dev/ibishub/administration/ConfigurationFollower.java
@@ -29,8 +29,9 @@
 import java.util.stream.Collectors;
 
 /**
- * Follows the configuration on the log and through peers, and tells what is in force at one site.
- * Starts no thread: it works on the threads that complete the log's futures. Thread-safe.
+ * Follower of the configuration, which learns its revisions from the log and from peers and
+ * provides the configuration in force at one site. It starts no threads: it runs on those of the
+ * common pool, of the log's futures and of its callers. Thread-safe.
  *
  * <p>Example:
  *
@@ -41,11 +42,13 @@
  * }</pre>
  */
 public final class ConfigurationFollower implements AutoCloseable {
-  /** The name of the stream that carries the configuration. */
+  /** Name of the log stream that carries the configuration. */
   public static final String STREAM = "configuration";
 
-  /** Keeps a log that does not wait for a first record from being asked without pause. */
-  private static final long EMPTY_PAGE_WAIT_MILLIS = 50;
+  /**
+   * Delay after an empty page; prevents a busy loop on a log that does not hold an empty read open.
+   */
+  private static final long EMPTY_PAGE_DELAY_MILLIS = 50;
 
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
@@ -58,33 +61,33 @@
   private final List<Waiter> waiters = new CopyOnWriteArrayList<>();
   private volatile Configuration current;
   private volatile boolean closed;
-  private volatile long firstKept;
+  private volatile long firstRetainedOffset;
   private final AtomicInteger failures = new AtomicInteger();
-  private final Object announcing = new Object();
-  private long announcedRevision = -1;
+  private final Object listenerLock = new Object();
+  private long notifiedRevision = -1;
 
   private record Waiter(Supplier<Boolean> condition, CompletableFuture<Void> done) {}
 
   /**
-   * How a follower reads.
+   * Options of a follower.
    *
-   * @param clock tells the time
-   * @param random spreads the waits of many processes
-   * @param maximumRecords records asked for at once
-   * @param longestWait how long the log may hold a read for which there is nothing yet
-   * @param firstBackoff the wait after a first failed read
-   * @param longestBackoff the wait after many
-   * @param reader bounds of what is remembered
+   * @param clock the current time
+   * @param random source of the back-off jitter
+   * @param maximumRecordsPerRead the maximum number of records in one read
+   * @param maximumReadWait how long the log may hold a read open while there are no new records
+   * @param initialBackoff the upper bound of the delay after the first failed read
+   * @param maximumBackoff the largest bound, which is reached by doubling after each failure
+   * @param readerOptions limits on the history that is kept
    */
   public record Options(
       InstantSource clock,
       RandomGenerator random,
-      int maximumRecords,
-      Duration longestWait,
-      Duration firstBackoff,
-      Duration longestBackoff,
-      ConfigurationReader.Options reader) {
-    /** Returns what suits a process in service. */
+      int maximumRecordsPerRead,
+      Duration maximumReadWait,
+      Duration initialBackoff,
+      Duration maximumBackoff,
+      ConfigurationReader.Options readerOptions) {
+    /** Returns the options for production use. */
     public static Options defaults() {
       return new Options(
           InstantSource.system(),
@@ -101,24 +104,24 @@
     this.log = log;
     this.site = site;
     this.options = options;
-    this.reader = ConfigurationReader.create(options.reader());
+    this.reader = ConfigurationReader.create(options.readerOptions());
     this.current = Configuration.empty(site);
   }
 
   /**
-   * Creates a follower that has read nothing.
+   * Creates a follower that has not started reading.
    *
    * @param log the platform's log
-   * @param site the site whose overlay holds here
-   * @param options how to read
+   * @param site the site whose overlay applies
+   * @param options the options
    */
   public static ConfigurationFollower create(AppendOnlyLog log, String site, Options options) {
     return new ConfigurationFollower(log, site, options);
   }
 
-  /** Begins to read; it goes on until {@link #close}. */
+  /** Starts reading the log, which continues until {@link #close}. */
   public void start() {
-    readOnce();
+    readNextPage();
   }
 
   @Override
@@ -126,54 +129,54 @@
     closed = true;
   }
 
-  /** Returns what is in force at the site, as far as this process knows. */
+  /** Returns the latest configuration of the site that this process knows. */
   public Configuration current() {
     return current;
   }
 
-  /** Tells whether a configuration was ever learnt; before, a process must refuse work. */
+  /** Tells whether a configuration is known; until then, a process must refuse requests. */
   public boolean isKnown() {
     synchronized (lock) {
       return reader.isKnown();
     }
   }
 
-  /** Returns the texts in force. */
+  /** Returns the state of the configuration in force, with the texts of base and overlays. */
   public ConfigurationState state() {
     synchronized (lock) {
       return reader.state();
     }
   }
 
-  /** Returns the texts of a past revision, if they are still remembered. */
+  /** Returns the state of a past revision; empty if it is unknown or no longer kept. */
   public Optional<ConfigurationState> state(long revision) {
     synchronized (lock) {
       return reader.state(revision);
     }
   }
 
-  /** Returns what became of the last changes, oldest first. */
+  /** Returns the verdicts on the latest changes, oldest first. */
   public List<ConfigurationEvent> events() {
     synchronized (lock) {
       return reader.events();
     }
   }
 
-  /** Returns what became of one change, if it was read. */
+  /** Returns the verdict on one change; empty if the change was not read. */
   public Optional<ConfigurationEvent> event(String recordId) {
     synchronized (lock) {
       return reader.event(recordId);
     }
   }
 
-  /** Returns in short what this process knows, to be sent to peers. */
+  /** Returns a digest of what this process knows, to be sent to peers. */
   public ConfigurationReader.Digest digest() {
     synchronized (lock) {
       return reader.digest();
     }
   }
 
-  /** Returns all that this process knows, for a peer that is behind; see {@link #offer}. */
+  /** Returns an encoded snapshot for a peer that is behind; see {@link #offer}. */
   public byte[] transfer() {
     synchronized (lock) {
       return ConfigurationCodec.encode(reader.snapshot(UUID.randomUUID().toString()));
@@ -181,9 +184,9 @@
   }
 
   /**
-   * Takes what a peer sent; bytes that are no transfer, and one that is behind, change nothing.
+   * Applies a snapshot from a peer. Invalid bytes and outdated snapshots are ignored.
    *
-   * @param transfer bytes made by {@link #transfer} in another process
+   * @param transfer the bytes that {@link #transfer} returned in another process
    */
   public void offer(byte[] transfer) {
     ConfigurationCodec.decodeSnapshot(transfer)
@@ -192,43 +195,49 @@
                 update(
                     () -> {
                       reader.accept(snapshot);
-                      reader.rejoin(firstKept);
+                      reader.rejoin(firstRetainedOffset);
                     }));
   }
 
   /**
-   * Adds a listener, which is called with what is in force now, if known, and with each revision
-   * that comes to be in force. Listeners must not block.
+   * Adds a listener, which is called with the current configuration, if one is known, and with each
+   * newer one. When revisions follow one another quickly, it may see only the latest. Listeners
+   * must not block.
    */
   public void addListener(Consumer<Configuration> listener) {
-    synchronized (announcing) {
+    synchronized (listenerLock) {
       listeners.add(listener);
-      if (announcedRevision >= 0) {
+      if (notifiedRevision >= 0) {
         listener.accept(current);
       }
     }
   }
 
   /**
-   * Returns a snapshot to append, if retention will soon take what an empty process could learn the
-   * configuration from and this process is the one to write.
+   * Returns an encoded snapshot to append to the log if one is due from this process; otherwise
+   * empty. A snapshot is due when the log's retention will soon delete the records from which a new
+   * process could learn the configuration.
    *
-   * @param self this process
-   * @param live the processes that might write, as this one sees them
+   * @param processId the id of this process
+   * @param liveEntries the ids of the processes that may write, as this process sees them
    * @param retention how long the log keeps records
    */
-  Optional<byte[]> dueSnapshot(String self, Collection<String> live, Duration retention) {
+  Optional<byte[]> snapshotIfDue(
+      String processId, Collection<String> liveEntries, Duration retention) {
     synchronized (lock) {
       long revision = reader.state().revision();
-      Instant due = SnapshotSchedule.dueAt(reader.keptSince(), retention, self, live, revision);
+      Instant due =
+          SnapshotSchedule.dueAt(reader.keptSince(), retention, processId, liveEntries, revision);
       return reader.maySnapshot() && !options.clock().instant().isBefore(due)
           ? Optional.of(ConfigurationCodec.encode(reader.snapshot(UUID.randomUUID().toString())))
           : Optional.empty();
     }
   }
 
-  /** Describes the change that came after a revision, for an author who was too late. */
-  String winnerOver(long basedOnRevision) {
+  /**
+   * Describes the change that was accepted after a revision, for the author of a conflicting one.
+   */
+  String describeConflictingChange(long basedOnRevision) {
     synchronized (lock) {
       return reader.winnerOver(basedOnRevision);
     }
@@ -237,17 +246,17 @@
   /**
    * Waits for the verdict on a change.
    *
-   * @param recordId the change
-   * @return done once {@link #event} knows it
+   * @param recordId the id of the change's log record
+   * @return a future that completes once {@link #event} returns the verdict
    */
-  CompletableFuture<Void> whenJudged(String recordId) {
+  CompletableFuture<Void> whenDecided(String recordId) {
     CompletableFuture<Void> done = new CompletableFuture<>();
     waiters.add(new Waiter(() -> event(recordId).isPresent(), done));
     completeWaiters();
     return done;
   }
 
-  private void readOnce() {
+  private void readNextPage() {
     if (closed) {
       return;
     }
@@ -258,24 +267,24 @@
       known = reader.isKnown();
     }
     Instant now = options.clock().instant();
-    Instant waitUntil = known ? now.plus(options.longestWait()) : now;
-    log.read(STREAM, from, options.maximumRecords(), waitUntil)
+    Instant waitUntil = known ? now.plus(options.maximumReadWait()) : now;
+    log.read(STREAM, from, options.maximumRecordsPerRead(), waitUntil)
         .whenComplete(
             (page, failure) -> {
-              long waitMillis = failure == null ? take(page) : backOff(failure);
-              later(waitMillis).execute(this::readOnce);
+              long delayMillis = failure == null ? applyPage(page) : nextBackoffMillis(failure);
+              delayedExecutor(delayMillis).execute(this::readNextPage);
             });
   }
 
-  private static Executor later(long millis) {
+  private static Executor delayedExecutor(long millis) {
     return CompletableFuture.delayedExecutor(millis, TimeUnit.MILLISECONDS);
   }
 
-  private long take(LogPage page) {
+  private long applyPage(LogPage page) {
     failures.set(0);
     update(
         () -> {
-          firstKept = page.firstKept();
+          firstRetainedOffset = page.firstKept();
           reader.rejoin(page.firstKept());
           reader.skipTo(page.firstKept());
           page.records()
@@ -289,18 +298,19 @@
             reader.reachedEnd();
           }
         });
-    return page.records().isEmpty() ? EMPTY_PAGE_WAIT_MILLIS : 0;
+    return page.records().isEmpty() ? EMPTY_PAGE_DELAY_MILLIS : 0;
   }
 
   /**
-   * Waits between half and all of a bound that doubles, so that many processes do not come at once.
+   * Returns a delay between half and all of a bound that doubles with each failure. The jitter
+   * spreads the retries of many processes.
    */
-  private long backOff(Throwable failure) {
+  private long nextBackoffMillis(Throwable failure) {
     int before = failures.getAndIncrement();
     long bound =
         Math.min(
-            options.longestBackoff().toMillis(),
-            options.firstBackoff().toMillis() << Math.min(before, 16));
+            options.maximumBackoff().toMillis(),
+            options.initialBackoff().toMillis() << Math.min(before, 16));
     logger.atWarning().log(
         "event=configuration_read_failed failures=%d detail=\"%s\"",
         before + 1, failure.getMessage());
@@ -313,33 +323,35 @@
       long before = reader.state().revision();
       change.run();
       if (reader.state().revision() > before || (!wasKnown && reader.isKnown())) {
-        merged().ifPresent(configuration -> current = configuration);
+        mergedConfiguration().ifPresent(configuration -> current = configuration);
       }
     }
-    announce();
+    notifyListeners();
     completeWaiters();
   }
 
   /**
-   * Tells the listeners. Log and peers bring news on several threads; without this lock a listener
-   * could be given an older revision after a newer one and would stay with it.
+   * Notifies the listeners of a new revision. Updates from the log and from peers arrive on several
+   * threads; without the lock a listener could receive an older revision after a newer one and keep
+   * using it.
    */
-  private void announce() {
-    synchronized (announcing) {
+  private void notifyListeners() {
+    synchronized (listenerLock) {
       Configuration now = current;
-      if (isKnown() && now.revision() > announcedRevision) {
-        announcedRevision = now.revision();
+      if (isKnown() && now.revision() > notifiedRevision) {
+        notifiedRevision = now.revision();
         listeners.forEach(listener -> listener.accept(now));
       }
     }
   }
 
   /**
-   * Merges the accepted texts. Guards against texts that this release cannot read, such as keys of
-   * a newer one: they are accepted all the same, and the last configuration that could be read
-   * stays in use here, which the log line and the revision in the status show.
+   * Returns the accepted base merged with the site's overlay; empty if this release cannot parse
+   * the texts, for example because they have keys of a newer release. Such texts are accepted all
+   * the same. The last configuration that could be parsed then stays in use here, which the log
+   * line and the revision in the status show.
    */
-  private Optional<Configuration> merged() {
+  private Optional<Configuration> mergedConfiguration() {
     ConfigurationState state = reader.state();
     Map<String, ConfigurationDocument.Source> overlays =
         state.overlays().entrySet().stream()
--- a/administration/src/main/java/dev/ibishub/administration/ConfigurationPublisher.java
+++ b/administration/src/main/java/dev/ibishub/administration/ConfigurationPublisher.java
@@ -19,7 +19,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Publishes changes of the configuration. Thread-safe.
+ * Publisher of configuration changes. Thread-safe.
  *
  * <p>Example: {@code publisher.publish("tbilisi", text, 41,
  * "nino").thenApply(PublishResult::revision)}.
@@ -28,53 +28,54 @@
   private final AppendOnlyLog log;
   private final ConfigurationFollower follower;
   private final InstantSource clock;
-  private final Duration longestWait;
+  private final Duration verdictTimeout;
 
   private ConfigurationPublisher(
       AppendOnlyLog log,
       ConfigurationFollower follower,
       InstantSource clock,
-      Duration longestWait) {
+      Duration verdictTimeout) {
     this.log = log;
     this.follower = follower;
     this.clock = clock;
-    this.longestWait = longestWait;
+    this.verdictTimeout = verdictTimeout;
   }
 
   /**
    * Creates a publisher.
    *
    * @param log the platform's log
-   * @param follower reads back what was appended; started by the caller
-   * @param clock tells the time that a change carries
-   * @param longestWait how long to wait for the verdict before it is given as unknown
+   * @param follower reads the appended change back from the log; started by the caller
+   * @param clock the clock for the timestamps of changes
+   * @param verdictTimeout how long to wait for the verdict on an appended change before it is
+   *     reported as undecided
    */
   public static ConfigurationPublisher create(
       AppendOnlyLog log,
       ConfigurationFollower follower,
       InstantSource clock,
-      Duration longestWait) {
-    return new ConfigurationPublisher(log, follower, clock, longestWait);
+      Duration verdictTimeout) {
+    return new ConfigurationPublisher(log, follower, clock, verdictTimeout);
   }
 
   /**
-   * Publishes a whole new text of the base or of an overlay.
+   * Publishes a complete new text of the base or of a site's overlay.
    *
    * @param site the site whose overlay changes, or empty for the base
    * @param text the new text, JSON with comments
-   * @param basedOnRevision the revision that the author saw
+   * @param basedOnRevision the revision that the author edited
    * @param author the operator's name
-   * @return done once the change was read back from the log as accepted, so that it will hold;
-   *     fails with {@code CONFIGURATION_INVALID} (its cause is the {@link SettingsException} with
-   *     all faults), {@code CONFIGURATION_CONFLICT} naming the winner, {@code REVISION_UNKNOWN},
-   *     {@code NOT_READY}, {@code LOG_UNAVAILABLE}, or with {@code CONFIGURATION_UNDECIDED} naming
-   *     the record, whose verdict the history will show
+   * @return completes once the change was read back from the log as accepted, and is therefore
+   *     final; fails with {@code CONFIGURATION_INVALID} (its cause is the {@link SettingsException}
+   *     with all faults), {@code CONFIGURATION_CONFLICT} naming the change that was accepted
+   *     instead, {@code REVISION_UNKNOWN}, {@code NOT_READY}, {@code LOG_UNAVAILABLE}, or with
+   *     {@code CONFIGURATION_UNDECIDED} naming the record whose verdict the history will show
    */
   public CompletableFuture<PublishResult> publish(
       String site, String text, long basedOnRevision, String author) {
     ConfigurationState state = follower.state();
     try {
-      requireCurrent(state, basedOnRevision);
+      requireCurrentRevision(state, basedOnRevision);
       requireValid(state, site, text);
     } catch (ResultException e) {
       return CompletableFuture.failedFuture(e);
@@ -83,11 +84,11 @@
         ConfigurationChange.of(
             UUID.randomUUID().toString(), state, site, text, author, clock.instant());
     return log.append(ConfigurationFollower.STREAM, ConfigurationCodec.encode(change))
-        .handle((offset, failure) -> whenAppended(change, failure))
+        .handle((offset, failure) -> awaitVerdict(change, failure))
         .thenCompose(verdict -> verdict);
   }
 
-  private void requireCurrent(ConfigurationState state, long basedOnRevision) {
+  private void requireCurrentRevision(ConfigurationState state, long basedOnRevision) {
     if (!follower.isKnown()) {
       throw new ResultException(
           ResultCode.NOT_READY,
@@ -96,7 +97,7 @@
     }
     if (basedOnRevision < state.revision()) {
       throw new ResultException(
-          ResultCode.CONFIGURATION_CONFLICT, follower.winnerOver(basedOnRevision));
+          ResultCode.CONFIGURATION_CONFLICT, follower.describeConflictingChange(basedOnRevision));
     }
     if (basedOnRevision > state.revision()) {
       throw new ResultException(
@@ -114,33 +115,34 @@
         state.overlays().entrySet().stream()
             .collect(
                 Collectors.toMap(
-                    Map.Entry::getKey, entry -> overlay(entry.getKey(), entry.getValue())));
+                    Map.Entry::getKey, entry -> overlaySource(entry.getKey(), entry.getValue())));
     String base = site.isEmpty() ? text : state.base();
     if (!site.isEmpty()) {
-      overlays.put(site, overlay(site, text));
+      overlays.put(site, overlaySource(site, text));
     }
     try {
       ConfigurationDocument.parse(new ConfigurationDocument.Source("base", base), overlays);
     } catch (SettingsException e) {
-      ResultException refusal =
+      ResultException invalidConfiguration =
           new ResultException(ResultCode.CONFIGURATION_INVALID, e.getMessage());
-      refusal.initCause(e);
-      throw refusal;
+      invalidConfiguration.initCause(e);
+      throw invalidConfiguration;
     }
   }
 
-  private static ConfigurationDocument.Source overlay(String site, String text) {
+  private static ConfigurationDocument.Source overlaySource(String site, String text) {
     return new ConfigurationDocument.Source("overlay " + site, text);
   }
 
   /**
-   * Settles an append. Guards against an answer that was lost after the append took effect: a
-   * second append, or "refused", would then be wrong, and would show as a change that is in force
-   * although its author was told otherwise. Only what the log shows decides.
+   * Waits for the verdict on a change after its append completed or failed. Except for {@code
+   * LOG_UNAVAILABLE}, a failed append may still have taken effect with only its answer lost.
+   * Appending again or reporting a refusal would then be wrong: the change would be in force
+   * although its author was told otherwise. Only reading the log decides.
    */
-  private CompletableFuture<PublishResult> whenAppended(
+  private CompletableFuture<PublishResult> awaitVerdict(
       ConfigurationChange change, Throwable failure) {
-    if (failure != null && codeOf(failure) == ResultCode.LOG_UNAVAILABLE) {
+    if (failure != null && resultCode(failure) == ResultCode.LOG_UNAVAILABLE) {
       return CompletableFuture.failedFuture(
           new ResultException(
               ResultCode.LOG_UNAVAILABLE,
@@ -148,14 +150,14 @@
               clock.instant().plusSeconds(5)));
     }
     return follower
-        .whenJudged(change.recordId())
-        .orTimeout(longestWait.toMillis(), TimeUnit.MILLISECONDS)
+        .whenDecided(change.recordId())
+        .orTimeout(verdictTimeout.toMillis(), TimeUnit.MILLISECONDS)
         .handle(
             (ignored, timeout) -> {
               if (timeout instanceof TimeoutException) {
                 throw undecided(change);
               }
-              return result(follower.event(change.recordId()).orElseThrow());
+              return toPublishResult(follower.event(change.recordId()).orElseThrow());
             });
   }
 
@@ -167,7 +169,7 @@
             + " yet; the history will say whether it was accepted");
   }
 
-  private static PublishResult result(ConfigurationEvent event) {
+  private static PublishResult toPublishResult(ConfigurationEvent event) {
     return switch (event.result()) {
       case ACCEPTED -> new PublishResult(event.recordId(), event.revision());
       case CONFLICT ->
@@ -177,8 +179,10 @@
     };
   }
 
-  private static ResultCode codeOf(Throwable failure) {
+  private static ResultCode resultCode(Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
-    return cause instanceof ResultException result ? result.code() : ResultCode.OUTCOME_UNKNOWN;
+    return cause instanceof ResultException resultException
+        ? resultException.code()
+        : ResultCode.OUTCOME_UNKNOWN;
   }
 }
--- a/administration/src/main/java/dev/ibishub/administration/ConfigurationSnapshots.java
+++ b/administration/src/main/java/dev/ibishub/administration/ConfigurationSnapshots.java
@@ -10,67 +10,69 @@
 import java.util.function.Supplier;
 
 /**
- * Appends the configuration to the log again before retention takes it. Every entry has one and
- * calls {@link #appendIfDue} every few seconds. Thread-safe.
+ * Writer of configuration snapshots, which appends the configuration to the log again before the
+ * log's retention deletes it. Every entry has one and calls {@link #appendIfDue} every few seconds.
+ * Thread-safe.
  */
 public final class ConfigurationSnapshots {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private final AppendOnlyLog log;
   private final ConfigurationFollower follower;
-  private final String self;
-  private final Supplier<Collection<String>> live;
+  private final String processId;
+  private final Supplier<Collection<String>> liveEntries;
   private final Duration retention;
-  private final AtomicBoolean appending = new AtomicBoolean();
+  private final AtomicBoolean appendInFlight = new AtomicBoolean();
 
   private ConfigurationSnapshots(
       AppendOnlyLog log,
       ConfigurationFollower follower,
-      String self,
-      Supplier<Collection<String>> live,
+      String processId,
+      Supplier<Collection<String>> liveEntries,
       Duration retention) {
     this.log = log;
     this.follower = follower;
-    this.self = self;
-    this.live = live;
+    this.processId = processId;
+    this.liveEntries = liveEntries;
     this.retention = retention;
   }
 
   /**
-   * Creates a writer.
+   * Creates a snapshot writer.
    *
    * @param log the platform's log
-   * @param follower knows the configuration
-   * @param self the id of this process
-   * @param live the ids of the entries that this process takes for live
+   * @param follower source of the configuration to write
+   * @param processId the id of this process
+   * @param liveEntries supplies the ids of the entries that this process considers live
    * @param retention how long the log keeps records
    */
   public static ConfigurationSnapshots create(
       AppendOnlyLog log,
       ConfigurationFollower follower,
-      String self,
-      Supplier<Collection<String>> live,
+      String processId,
+      Supplier<Collection<String>> liveEntries,
       Duration retention) {
-    return new ConfigurationSnapshots(log, follower, self, live, retention);
+    return new ConfigurationSnapshots(log, follower, processId, liveEntries, retention);
   }
 
   /**
-   * Appends a snapshot if one is due from this process and none is on its way.
+   * Appends a snapshot if one is due from this process and no append is in flight.
    *
-   * <p>A lost answer needs no care: a snapshot changes nothing, and one that came too late is void
-   * at every reader, so the next call finds out whether one is still due.
+   * <p>An append whose outcome is unknown is not handled specially: a snapshot does not change the
+   * configuration, and readers ignore one that arrives too late. The next call checks whether a
+   * snapshot is still due.
    *
-   * @return whether one was appended; never fails
+   * @return whether a snapshot was appended; the future never fails
    */
   public CompletableFuture<Boolean> appendIfDue() {
-    Optional<byte[]> snapshot = follower.dueSnapshot(self, live.get(), retention);
-    if (snapshot.isEmpty() || !appending.compareAndSet(false, true)) {
+    Optional<byte[]> snapshot = follower.snapshotIfDue(processId, liveEntries.get(), retention);
+    if (snapshot.isEmpty() || !appendInFlight.compareAndSet(false, true)) {
       return CompletableFuture.completedFuture(false);
     }
     return log.append(ConfigurationFollower.STREAM, snapshot.get())
         .handle(
             (offset, failure) -> {
-              appending.set(false);
+              appendInFlight.set(false);
               logger.atInfo().log(
                   "event=configuration_snapshot appended=%b bytes=%d",
                   failure == null, snapshot.get().length);
--- a/administration/src/main/java/dev/ibishub/administration/PublishResult.java
+++ b/administration/src/main/java/dev/ibishub/administration/PublishResult.java
@@ -1,9 +1,9 @@
 package dev.ibishub.administration;
 
 /**
- * A change that is in force.
+ * Result of a configuration change that was accepted.
  *
- * @param recordId the change's unique name
- * @param revision the revision that it made
+ * @param recordId the unique id of the change's log record
+ * @param revision the revision that the change created
  */
 public record PublishResult(String recordId, long revision) {}
--- a/administration/src/test/java/dev/ibishub/administration/ConfigurationPublisherTest.java
+++ b/administration/src/test/java/dev/ibishub/administration/ConfigurationPublisherTest.java
@@ -19,16 +19,16 @@
 
 final class ConfigurationPublisherTest {
   private static final Instant NOW = Instant.parse("2026-03-02T22:00:00Z");
-  private static final Duration LONG = Duration.ofMinutes(1);
-  private static final Duration SHORT = Duration.ofMillis(50);
+  private static final Duration LONG_TIMEOUT = Duration.ofMinutes(1);
+  private static final Duration SHORT_TIMEOUT = Duration.ofMillis(50);
   private static final String SITES =
       "{\"sites\": [{\"name\": \"tbilisi\", \"zones\": [\"vake\"]}]}";
 
   private final FakeLog log = new FakeLog();
-  private final ConfigurationFollower one = started();
-  private final ConfigurationFollower two = started();
+  private final ConfigurationFollower firstFollower = startFollower();
+  private final ConfigurationFollower secondFollower = startFollower();
 
-  private ConfigurationFollower started() {
+  private ConfigurationFollower startFollower() {
     ConfigurationFollower follower =
         ConfigurationFollower.create(log, "tbilisi", ConfigurationFollower.Options.defaults());
     CompletableFuture<Configuration> known = new CompletableFuture<>();
@@ -40,12 +40,13 @@
 
   @AfterEach
   void close() {
-    one.close();
-    two.close();
+    firstFollower.close();
+    secondFollower.close();
   }
 
-  private ConfigurationPublisher publisher(ConfigurationFollower follower, Duration longestWait) {
-    return ConfigurationPublisher.create(log, follower, () -> NOW, longestWait);
+  private ConfigurationPublisher publisher(
+      ConfigurationFollower follower, Duration verdictTimeout) {
+    return ConfigurationPublisher.create(log, follower, () -> NOW, verdictTimeout);
   }
 
   private static ResultException failure(CompletableFuture<?> future) {
@@ -54,131 +55,139 @@
   }
 
   @Test
-  void acceptedChangeIsInForceAtEveryFollower() {
-    CompletableFuture<Configuration> seen = new CompletableFuture<>();
-    two.addListener(
+  void appliesAcceptedChangeAtEveryFollower() {
+    CompletableFuture<Configuration> received = new CompletableFuture<>();
+    secondFollower.addListener(
         configuration -> {
           if (configuration.revision() == 1) {
-            seen.complete(configuration);
+            received.complete(configuration);
           }
         });
 
-    PublishResult result = publisher(one, LONG).publish("", SITES, 0, "nino").join();
+    PublishResult result =
+        publisher(firstFollower, LONG_TIMEOUT).publish("", SITES, 0, "nino").join();
 
     assertThat(result.revision()).isEqualTo(1);
-    assertThat(one.current().zones()).containsExactly("vake");
-    assertThat(seen.join().zones()).containsExactly("vake");
+    assertThat(firstFollower.current().zones()).containsExactly("vake");
+    assertThat(received.join().zones()).containsExactly("vake");
   }
 
   /**
-   * Two operators publish on top of revision 0 through two entries. The second one's entry has read
-   * the first one's change, or not yet; either way the second is told who won.
+   * Two operators publish changes based on revision 0 through two entries. The later one must be
+   * refused with the name of the operator whose change was accepted.
    */
   @Test
-  void loserOfRaceIsToldWhoWon() {
-    publisher(one, LONG).publish("", SITES, 0, "nino").join();
-    two.whenJudged(one.state().recordId()).join();
+  void refusesConflictingChangeAndNamesAcceptedOne() {
+    publisher(firstFollower, LONG_TIMEOUT).publish("", SITES, 0, "nino").join();
+    secondFollower.whenDecided(firstFollower.state().recordId()).join();
 
     ResultException refused =
-        failure(publisher(two, LONG).publish("", "{\"sites\": []}", 0, "arun"));
+        failure(publisher(secondFollower, LONG_TIMEOUT).publish("", "{\"sites\": []}", 0, "arun"));
 
     assertThat(refused.code()).isEqualTo(ResultCode.CONFIGURATION_CONFLICT);
     assertThat(refused).hasMessageContaining("revision 1 by nino at 2026-03-02T22:00:00Z");
   }
 
   /**
-   * The log takes the record but its answer is lost. Saying "refused", or appending again, would be
-   * wrong; the publisher finds its own record when it reads on.
+   * The log appends the record but its answer is lost. Reporting a refusal or appending again would
+   * be wrong; the publisher must find its own record by reading the log.
    */
   @Test
-  void lostAnswerOfTheLogIsSettledByReading() {
-    log.failAppends(AppendFault.ANSWER_LOST);
+  void reportsAcceptedChangeWhenAnswerOfAppendIsLost() {
+    log.setAppendFault(AppendFault.ANSWER_LOST);
 
-    PublishResult result = publisher(one, LONG).publish("", SITES, 0, "nino").join();
+    PublishResult result =
+        publisher(firstFollower, LONG_TIMEOUT).publish("", SITES, 0, "nino").join();
 
     assertThat(result.revision()).isEqualTo(1);
-    assertThat(one.events()).hasSize(1);
+    assertThat(firstFollower.events()).hasSize(1);
   }
 
   @Test
-  void recordThatNeverShowsIsUndecidedAndNamed() {
-    log.failAppends(AppendFault.RECORD_AND_ANSWER_LOST);
+  void reportsUndecidedAndNamesRecordThatNeverAppears() {
+    log.setAppendFault(AppendFault.RECORD_AND_ANSWER_LOST);
 
-    ResultException undecided = failure(publisher(one, SHORT).publish("", SITES, 0, "nino"));
+    ResultException undecided =
+        failure(publisher(firstFollower, SHORT_TIMEOUT).publish("", SITES, 0, "nino"));
 
     assertThat(undecided.code()).isEqualTo(ResultCode.CONFIGURATION_UNDECIDED);
     assertThat(undecided).hasMessageContaining("record ");
   }
 
   /**
-   * The log goes down just after it took the record, before the publisher has read it back. The
-   * change may hold or not, so neither "accepted" nor "refused" may be said; when the log is back
-   * the history has the verdict under the record's name.
+   * The log fails after it appended the record and before the publisher has read it back. Whether
+   * the change is accepted is unknown, so neither acceptance nor refusal may be reported; once the
+   * log is back, the history must have the verdict under the record's id.
    */
   @Test
-  void outageBeforeReadingBackIsUndecidedUntilTheLogReturns() {
-    log.readable(false);
-    ResultException undecided = failure(publisher(one, SHORT).publish("", SITES, 0, "nino"));
+  void reportsUndecidedDuringOutageAndVerdictAfterLogReturns() {
+    log.setReadable(false);
+    ResultException undecided =
+        failure(publisher(firstFollower, SHORT_TIMEOUT).publish("", SITES, 0, "nino"));
     assertThat(undecided.code()).isEqualTo(ResultCode.CONFIGURATION_UNDECIDED);
 
-    log.readable(true);
+    log.setReadable(true);
     String recordId = undecided.getMessage().replaceAll(".*record ([^ ]+) .*", "$1");
-    one.whenJudged(recordId).join();
+    firstFollower.whenDecided(recordId).join();
 
-    assertThat(one.event(recordId).map(ConfigurationEvent::result))
+    assertThat(firstFollower.event(recordId).map(ConfigurationEvent::result))
         .contains(ConfigurationEvent.Result.ACCEPTED);
   }
 
   @Test
-  void refusedAppendChangesNothing() {
-    log.failAppends(AppendFault.REFUSED);
+  void reportsLogUnavailableAndRetryTimeWhenAppendIsRefused() {
+    log.setAppendFault(AppendFault.REFUSED);
 
-    ResultException refused = failure(publisher(one, LONG).publish("", SITES, 0, "nino"));
+    ResultException refused =
+        failure(publisher(firstFollower, LONG_TIMEOUT).publish("", SITES, 0, "nino"));
 
     assertThat(refused.code()).isEqualTo(ResultCode.LOG_UNAVAILABLE);
     assertThat(refused.retryAt()).isPresent();
   }
 
   @Test
-  void invalidTextIsRefusedWithAllFaultsAndNotAppended() {
+  void refusesInvalidTextWithAllFaultsAndAppendsNothing() {
     ResultException refused =
-        failure(publisher(one, LONG).publish("", "{\"site\": [], \"models\": 3}", 0, "nino"));
+        failure(
+            publisher(firstFollower, LONG_TIMEOUT)
+                .publish("", "{\"site\": [], \"models\": 3}", 0, "nino"));
 
     assertThat(refused.code()).isEqualTo(ResultCode.CONFIGURATION_INVALID);
     assertThat(((SettingsException) refused.getCause()).faults()).hasSize(2);
-    assertThat(one.digest().stateOffset()).isZero();
+    assertThat(firstFollower.digest().stateOffset()).isZero();
   }
 
-  /** A process started in an outage of the log must still learn what its peers know. */
+  /** A process started during an outage of the log must learn the configuration from a peer. */
   @Test
-  void processStartedInAnOutageLearnsFromPeer() {
-    publisher(one, LONG).publish("", SITES, 0, "nino").join();
-    log.readable(false);
-    ConfigurationFollower fresh =
+  void learnsConfigurationFromPeerDuringLogOutage() {
+    publisher(firstFollower, LONG_TIMEOUT).publish("", SITES, 0, "nino").join();
+    log.setReadable(false);
+    ConfigurationFollower newFollower =
         ConfigurationFollower.create(log, "tbilisi", ConfigurationFollower.Options.defaults());
-    assertThat(fresh.isKnown()).isFalse();
+    assertThat(newFollower.isKnown()).isFalse();
 
-    fresh.offer(one.transfer());
+    newFollower.offer(firstFollower.transfer());
 
-    assertThat(fresh.current()).isEqualTo(one.current());
-    assertThat(fresh.digest()).isEqualTo(one.digest());
+    assertThat(newFollower.current()).isEqualTo(firstFollower.current());
+    assertThat(newFollower.digest()).isEqualTo(firstFollower.digest());
   }
 
   /**
-   * Retention takes every record of a change, and only then does a process start. Without the
-   * snapshot that another process appended in time it would never know the configuration again.
+   * The log's retention deletes every record of a change before a process starts. Without the
+   * snapshot that another process appended in time, it would never learn the configuration.
    */
   @Test
-  void snapshotInTimeOutlivesTheRecordsOfTheChange() {
-    publisher(one, LONG).publish("", SITES, 0, "nino").join();
+  void newProcessLearnsConfigurationFromSnapshotAfterRecordsAreDeleted() {
+    publisher(firstFollower, LONG_TIMEOUT).publish("", SITES, 0, "nino").join();
     ConfigurationSnapshots snapshots =
-        ConfigurationSnapshots.create(log, one, "e1", () -> List.of("e1"), Duration.ofDays(1));
+        ConfigurationSnapshots.create(
+            log, firstFollower, "e1", () -> List.of("e1"), Duration.ofDays(1));
 
     assertThat(snapshots.appendIfDue().join()).isTrue();
-    log.keepFrom(1);
-    ConfigurationFollower fresh = started();
+    log.dropRecordsBefore(1);
+    ConfigurationFollower newFollower = startFollower();
 
-    assertThat(fresh.current()).isEqualTo(one.current());
-    fresh.close();
+    assertThat(newFollower.current()).isEqualTo(firstFollower.current());
+    newFollower.close();
   }
 }
--- a/administration/src/test/java/dev/ibishub/administration/FakeLog.java
+++ b/administration/src/test/java/dev/ibishub/administration/FakeLog.java
@@ -11,9 +11,12 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.function.Supplier;
 
-/** One stream in memory, whose faults a test sets. Reads wait until a record or a fault comes. */
+/**
+ * In-memory log with one stream and faults set by the test. Reads wait until a record is appended
+ * or a fault is set.
+ */
 final class FakeLog implements AppendOnlyLog {
-  /** What becomes of an append. */
+  /** Outcome of an append. */
   enum AppendFault {
     NONE,
     REFUSED,
@@ -22,30 +25,30 @@
   }
 
   private final List<LogRecord> records = new ArrayList<>();
-  private final List<WaitingRead> waiting = new ArrayList<>();
+  private final List<WaitingRead> waitingReads = new ArrayList<>();
   private AppendFault appendFault = AppendFault.NONE;
   private boolean readable = true;
-  private long firstKept;
+  private long firstRetainedOffset;
 
   private record WaitingRead(CompletableFuture<LogPage> answer, Supplier<LogPage> page) {}
 
-  synchronized void failAppends(AppendFault fault) {
+  synchronized void setAppendFault(AppendFault fault) {
     appendFault = fault;
   }
 
-  synchronized void keepFrom(long offset) {
-    firstKept = offset;
-    wake();
+  synchronized void dropRecordsBefore(long offset) {
+    firstRetainedOffset = offset;
+    answerWaitingReads();
   }
 
-  synchronized void readable(boolean value) {
+  synchronized void setReadable(boolean value) {
     readable = value;
-    wake();
+    answerWaitingReads();
   }
 
-  synchronized void add(byte[] record) {
+  synchronized void addRecord(byte[] record) {
     records.add(new LogRecord(records.size(), Instant.EPOCH, record));
-    wake();
+    answerWaitingReads();
   }
 
   @Override
@@ -54,7 +57,7 @@
       return failed(ResultCode.LOG_UNAVAILABLE);
     }
     if (appendFault != AppendFault.RECORD_AND_ANSWER_LOST) {
-      add(record);
+      addRecord(record);
     }
     return appendFault == AppendFault.NONE
         ? CompletableFuture.completedFuture(records.size() - 1L)
@@ -72,27 +75,30 @@
       return CompletableFuture.completedFuture(page.get());
     }
     CompletableFuture<LogPage> answer = new CompletableFuture<>();
-    waiting.add(new WaitingRead(answer, page));
+    waitingReads.add(new WaitingRead(answer, page));
     return answer;
   }
 
   private LogPage page(long fromOffset, int maximumRecords) {
     List<LogRecord> found =
         records.stream()
-            .filter(record -> record.offset() >= Math.max(fromOffset, firstKept))
+            .filter(record -> record.offset() >= Math.max(fromOffset, firstRetainedOffset))
             .limit(maximumRecords)
             .toList();
-    return new LogPage(firstKept, records.size(), found);
+    return new LogPage(firstRetainedOffset, records.size(), found);
   }
 
-  /** What each read gets is settled here, under the lock; only the telling is left to others. */
-  private void wake() {
-    List<Runnable> tellings = waiting.stream().map(this::settle).toList();
-    waiting.clear();
-    tellings.forEach(CompletableFuture::runAsync);
+  /**
+   * Answers all waiting reads. The answers are computed here, under the lock; the futures are
+   * completed on other threads.
+   */
+  private void answerWaitingReads() {
+    List<Runnable> completions = waitingReads.stream().map(this::prepareCompletion).toList();
+    waitingReads.clear();
+    completions.forEach(CompletableFuture::runAsync);
   }
 
-  private Runnable settle(WaitingRead read) {
+  private Runnable prepareCompletion(WaitingRead read) {
     if (!readable) {
       ResultException outage = new ResultException(ResultCode.LOG_UNAVAILABLE, "set by the test");
       return () -> read.answer().completeExceptionally(outage);
