--- a/administration/src/main/java/dev/ibishub/administration/AuditEntry.java
+++ b/administration/src/main/java/dev/ibishub/administration/AuditEntry.java
@@ -4,15 +4,17 @@
 import java.time.Instant;
 
 /**
- * One thing that an operator did or tried.
+ * Action that an operator performed or attempted.
  *
- * @param at when, by the entry's clock
- * @param operator who
+ * @param at the time of the action, by the clock of the process that handled it
+ * @param operator the name of the operator
  * @param action {@code publish}, {@code drain} or {@code undrain}
- * @param subject what it was about: {@code base}, {@code overlay:SITE} or {@code target:ID}
- * @param basedOnRevision the revision that the operator saw, or the one in force for an order
- * @param result what came of it
- * @param detail more for people; holds no secret
+ * @param subject what the action applied to: {@code base}, {@code overlay:SITE} or {@code
+ *     target:ID}
+ * @param basedOnRevision for a publication, the revision that the operator edited; for an order,
+ *     the revision in force
+ * @param result the result code of the action
+ * @param detail explanation for people; contains no secrets
  */
 public record AuditEntry(
     Instant at,
--- a/administration/src/main/java/dev/ibishub/administration/AuditTrail.java
+++ b/administration/src/main/java/dev/ibishub/administration/AuditTrail.java
@@ -17,17 +17,18 @@
 import java.util.stream.Stream;
 
 /**
- * What operators did, kept on a stream of the log, as no VM keeps anything. Thread-safe.
+ * Audit trail of operators' actions, stored on a stream of the log because VMs store nothing
+ * durably. Thread-safe.
  *
- * <p>An entry that the log did not take stays in the memory of this process, is shown from there,
- * and goes to the log with the next one. Each entry is also a line of the process's own log.
+ * <p>An entry that the log refused stays in the memory of this process, is included in reads, and
+ * is sent again with the next entry. Each entry is also written to the process's own log.
  */
 public final class AuditTrail {
-  /** The name of the stream that carries the trail. */
+  /** Name of the log stream that stores the trail. */
   public static final String STREAM = "audit";
 
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
-  private static final int MAXIMUM_UNSENT = 1_000;
+  private static final int MAXIMUM_UNSENT_ENTRIES = 1_000;
 
   private final AppendOnlyLog log;
   private final Deque<AuditEntry> unsent = new ArrayDeque<>();
@@ -36,12 +37,12 @@
     this.log = log;
   }
 
-  /** Returns a trail that is kept on the given log. */
+  /** Returns a trail that is stored on the given log. */
   public static AuditTrail on(AppendOnlyLog log) {
     return new AuditTrail(log);
   }
 
-  /** Adds an entry. */
+  /** Adds an entry and sends it to the log with all unsent ones. */
   public void add(AuditEntry entry) {
     logger.atInfo().log(
         "event=audit operator=%s action=%s subject=%s based_on=%d code=%d",
@@ -60,10 +61,11 @@
   }
 
   /**
-   * Reads the last entries.
+   * Reads the latest entries.
    *
-   * @param limit the most entries wanted
-   * @return the entries, oldest first; fails with {@code LOG_UNAVAILABLE}
+   * @param limit the maximum number of entries to read from the log
+   * @return the entries, oldest first, followed by the unsent ones; fails with {@code
+   *     LOG_UNAVAILABLE}
    */
   public CompletableFuture<List<AuditEntry>> last(int limit) {
     return log.read(STREAM, 0, 1, Instant.EPOCH)
@@ -72,41 +74,44 @@
               long from = Math.max(page.firstKept(), page.nextOffset() - limit);
               return log.read(STREAM, from, limit, Instant.EPOCH);
             })
-        .thenApply(page -> Stream.concat(decoded(page), kept().stream()).toList());
+        .thenApply(page -> Stream.concat(decode(page), unsentEntries().stream()).toList());
   }
 
   private void send(AuditEntry entry) {
     log.append(STREAM, Json.bytes(toJson(entry)))
         .whenComplete(
             (offset, failure) -> {
-              if (failure != null && wasSurelyNotAppended(failure)) {
-                keep(entry);
+              if (failure != null && isKnownNotAppended(failure)) {
+                keepUnsent(entry);
               }
             });
   }
 
-  /** Tells a refusal from a lost answer: what may have been appended is not appended again. */
-  private static boolean wasSurelyNotAppended(Throwable failure) {
+  /**
+   * Tells whether a failed append had no effect. After any other failure the entry may be on the
+   * log, and is not appended again.
+   */
+  private static boolean isKnownNotAppended(Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
     return cause instanceof ResultException result && result.code() == ResultCode.LOG_UNAVAILABLE;
   }
 
-  private void keep(AuditEntry entry) {
+  private void keepUnsent(AuditEntry entry) {
     synchronized (unsent) {
       unsent.addLast(entry);
-      if (unsent.size() > MAXIMUM_UNSENT) {
+      if (unsent.size() > MAXIMUM_UNSENT_ENTRIES) {
         unsent.removeFirst();
       }
     }
   }
 
-  private List<AuditEntry> kept() {
+  private List<AuditEntry> unsentEntries() {
     synchronized (unsent) {
       return List.copyOf(unsent);
     }
   }
 
-  private static Stream<AuditEntry> decoded(LogPage page) {
+  private static Stream<AuditEntry> decode(LogPage page) {
     return page.records().stream()
         .map(record -> Json.parse(record.payload()).flatMap(AuditTrail::fromJson))
         .flatMap(Optional::stream);
