--- a/administration/src/main/java/dev/ibishub/administration/OperatorAnswer.java
+++ b/administration/src/main/java/dev/ibishub/administration/OperatorAnswer.java
@@ -5,12 +5,12 @@
 import java.util.Optional;
 
 /**
- * An answer of the operator API.
+ * Response of the operator API.
  *
- * @param code the result; its HTTP status is the answer's
- * @param contentType {@code application/json}, or {@code application/problem+json} for refusals
- * @param body JSON
- * @param retryAt when to come back, for refusals that say so
+ * @param code the result code, which also determines the HTTP status
+ * @param contentType {@code application/json}, or {@code application/problem+json} for errors
+ * @param body the JSON body
+ * @param retryAt the earliest time to retry, for errors that give one
  */
 public record OperatorAnswer(
     ResultCode code, String contentType, String body, Optional<Instant> retryAt) {}
--- a/administration/src/main/java/dev/ibishub/administration/OperatorApi.java
+++ b/administration/src/main/java/dev/ibishub/administration/OperatorApi.java
@@ -20,12 +20,12 @@
 import java.util.function.Supplier;
 
 /**
- * The operator API under {@code /admin/v1}, apart from HTTP; docs/API.md has its paths and JSON.
- * Refusals are answers too, so the future never fails. Thread-safe.
+ * Operator API under {@code /admin/v1}, without the HTTP layer; docs/API.md documents its paths and
+ * JSON. Errors are returned as answers too, so the returned future never fails. Thread-safe.
  */
 public final class OperatorApi {
-  private static final int AUDIT_LIMIT = 500;
-  private static final String OVERLAY = "overlay:";
+  private static final int MAXIMUM_AUDIT_ENTRIES = 500;
+  private static final String OVERLAY_PREFIX = "overlay:";
 
   private final ConfigurationFollower follower;
   private final ConfigurationPublisher publisher;
@@ -52,12 +52,12 @@
   /**
    * Creates the API.
    *
-   * @param follower knows the configuration
-   * @param publisher changes it
-   * @param audit keeps what operators did
-   * @param orders gives orders to targets
-   * @param status makes the JSON of the status of sites, groups and targets
-   * @param clock tells the time of audit entries
+   * @param follower source of the configuration in force and its history
+   * @param publisher publishes configuration changes
+   * @param audit the audit trail
+   * @param orders sends orders to targets
+   * @param status supplies the JSON of the status of sites, groups and targets
+   * @param clock the clock for audit entries
    */
   public static OperatorApi create(
       ConfigurationFollower follower,
@@ -72,8 +72,8 @@
   /**
    * Answers a call.
    *
-   * @param call the call
-   * @return the answer; never fails
+   * @param call the authenticated call
+   * @return the answer; the future never fails
    */
   public CompletableFuture<OperatorAnswer> answer(OperatorCall call) {
     CompletableFuture<String> body;
@@ -86,28 +86,28 @@
         (json, failure) ->
             failure == null
                 ? new OperatorAnswer(ResultCode.OK, "application/json", json, Optional.empty())
-                : refusal(failure));
+                : errorAnswer(failure));
   }
 
   private CompletableFuture<String> route(OperatorCall call) {
     if (call.path().startsWith("/targets/")) {
-      return order(call);
+      return sendOrder(call);
     }
     if (call.path().equals("/configuration") && call.method().equals("POST")) {
       return publish(call);
     }
     requireMethod(call, "GET");
     return switch (call.path()) {
-      case "/configuration" -> done(configuration(call));
-      case "/configuration/diff" -> done(difference(call));
-      case "/history" -> done(history());
-      case "/audit" -> audit.last(AUDIT_LIMIT).thenApply(OperatorApi::auditJson);
+      case "/configuration" -> completed(configurationJson(call));
+      case "/configuration/diff" -> completed(differenceJson(call));
+      case "/history" -> completed(historyJson());
+      case "/audit" -> audit.last(MAXIMUM_AUDIT_ENTRIES).thenApply(OperatorApi::auditJson);
       case "/status" -> CompletableFuture.completedFuture(status.get());
       default -> throw new ResultException(ResultCode.NOT_FOUND, "no path " + call.path());
     };
   }
 
-  private static CompletableFuture<String> done(JsonNode node) {
+  private static CompletableFuture<String> completed(JsonNode node) {
     return CompletableFuture.completedFuture(node.toString());
   }
 
@@ -125,9 +125,9 @@
     }
   }
 
-  private JsonNode configuration(OperatorCall call) {
+  private JsonNode configurationJson(OperatorCall call) {
     ConfigurationState state =
-        call.query().containsKey("revision") ? revision(call, "revision") : follower.state();
+        call.query().containsKey("revision") ? stateOfRevision(call, "revision") : follower.state();
     ObjectNode node =
         Json.object()
             .put("revision", state.revision())
@@ -141,15 +141,15 @@
     return node;
   }
 
-  private JsonNode difference(OperatorCall call) {
-    ConfigurationState from = revision(call, "from");
+  private JsonNode differenceJson(OperatorCall call) {
+    ConfigurationState from = stateOfRevision(call, "from");
     ConfigurationState to =
-        call.query().containsKey("to") ? revision(call, "to") : follower.state();
+        call.query().containsKey("to") ? stateOfRevision(call, "to") : follower.state();
     ObjectNode node = Json.object().put("from", from.revision()).put("to", to.revision());
     return node.set("changes", ConfigurationDifference.between(from, to));
   }
 
-  private ConfigurationState revision(OperatorCall call, String parameter) {
+  private ConfigurationState stateOfRevision(OperatorCall call, String parameter) {
     String text = call.query().getOrDefault(parameter, "");
     if (!text.matches("\\d{1,18}")) {
       throw new ResultException(
@@ -164,7 +164,7 @@
                     "revision " + text + " is not remembered here; see the history"));
   }
 
-  private JsonNode history() {
+  private JsonNode historyJson() {
     ArrayNode array = Json.array();
     follower.events().forEach(event -> array.insert(0, eventJson(event)));
     return Json.object().put("revision", follower.state().revision()).set("events", array);
@@ -174,7 +174,7 @@
     return Json.object()
         .put("revision", event.revision())
         .put("result", event.result().name())
-        .put("part", event.site().isEmpty() ? "base" : OVERLAY + event.site())
+        .put("part", event.site().isEmpty() ? "base" : OVERLAY_PREFIX + event.site())
         .put("author", event.author())
         .put("at", event.at().toString())
         .put("basedOnRevision", event.basedOnRevision())
@@ -193,7 +193,7 @@
     requireOperator(call);
     JsonNode body =
         Json.parse(call.body().getBytes(UTF_8))
-            .filter(OperatorApi::isPublication)
+            .filter(OperatorApi::isPublishRequest)
             .orElseThrow(
                 () ->
                     new ResultException(
@@ -201,12 +201,14 @@
                         "expected {\"kind\": \"base\" or \"overlay:SITE\", \"basedOnRevision\":"
                             + " number, \"content\": text}"));
     String kind = body.path("kind").asText();
-    String site = kind.equals("base") ? "" : kind.substring(OVERLAY.length());
-    long basedOn = body.path("basedOnRevision").asLong();
+    String site = kind.equals("base") ? "" : kind.substring(OVERLAY_PREFIX.length());
+    long basedOnRevision = body.path("basedOnRevision").asLong();
     String author = call.operator().name();
     return publisher
-        .publish(site, body.path("content").asText(), basedOn, author)
-        .whenComplete((result, failure) -> note(call, "publish", kind, basedOn, failure))
+        .publish(site, body.path("content").asText(), basedOnRevision, author)
+        .whenComplete(
+            (result, failure) ->
+                recordInAuditTrail(call, "publish", kind, basedOnRevision, failure))
         .thenApply(
             result ->
                 Json.object()
@@ -215,54 +217,63 @@
                     .toString());
   }
 
-  private static boolean isPublication(JsonNode body) {
+  private static boolean isPublishRequest(JsonNode body) {
     String kind = body.path("kind").asText();
-    boolean named = kind.startsWith(OVERLAY) && kind.length() > OVERLAY.length();
-    return (kind.equals("base") || named)
+    boolean isOverlay = kind.startsWith(OVERLAY_PREFIX) && kind.length() > OVERLAY_PREFIX.length();
+    return (kind.equals("base") || isOverlay)
         && body.path("basedOnRevision").canConvertToLong()
         && body.path("basedOnRevision").isIntegralNumber()
         && body.path("content").isTextual();
   }
 
-  private CompletableFuture<String> order(OperatorCall call) {
+  private CompletableFuture<String> sendOrder(OperatorCall call) {
     String[] parts = call.path().split("/", -1);
-    boolean known = parts.length == 4 && (parts[3].equals("drain") || parts[3].equals("undrain"));
-    if (!known) {
+    boolean isKnownPath =
+        parts.length == 4 && (parts[3].equals("drain") || parts[3].equals("undrain"));
+    if (!isKnownPath) {
       throw new ResultException(ResultCode.NOT_FOUND, "no path " + call.path());
     }
     requireMethod(call, "POST");
     requireOperator(call);
     String target = parts[2];
     String order = parts[3];
-    long revision = follower.state().revision();
+    long revisionInForce = follower.state().revision();
     return orders
         .give(target, order, call.operator().name())
-        .whenComplete((done, failure) -> note(call, order, "target:" + target, revision, failure))
-        .thenApply(done -> Json.object().put("target", target).put("order", order).toString());
+        .whenComplete(
+            (ignored, failure) ->
+                recordInAuditTrail(call, order, "target:" + target, revisionInForce, failure))
+        .thenApply(ignored -> Json.object().put("target", target).put("order", order).toString());
   }
 
-  private void note(
-      OperatorCall call, String action, String subject, long basedOn, Throwable failure) {
-    ResultCode result = failure == null ? ResultCode.OK : asResult(failure).code();
-    String detail = failure == null ? "" : asResult(failure).getMessage();
+  private void recordInAuditTrail(
+      OperatorCall call, String action, String subject, long basedOnRevision, Throwable failure) {
+    ResultCode result = failure == null ? ResultCode.OK : toResultException(failure).code();
+    String detail = failure == null ? "" : toResultException(failure).getMessage();
     audit.add(
         new AuditEntry(
-            clock.instant(), call.operator().name(), action, subject, basedOn, result, detail));
+            clock.instant(),
+            call.operator().name(),
+            action,
+            subject,
+            basedOnRevision,
+            result,
+            detail));
   }
 
-  private static ResultException asResult(Throwable failure) {
+  private static ResultException toResultException(Throwable failure) {
     Throwable cause = failure instanceof CompletionException ? failure.getCause() : failure;
     return cause instanceof ResultException result
         ? result
         : new ResultException(ResultCode.INTERNAL, String.valueOf(cause));
   }
 
-  private static OperatorAnswer refusal(Throwable failure) {
-    ResultException result = asResult(failure);
+  private static OperatorAnswer errorAnswer(Throwable failure) {
+    ResultException result = toResultException(failure);
     ObjectNode problem = ProblemDocument.of(result);
-    if (result.getCause() instanceof SettingsException invalid) {
+    if (result.getCause() instanceof SettingsException settingsFailure) {
       ArrayNode faults = problem.putArray("faults");
-      invalid.faults().forEach(fault -> faults.add(faultJson(fault)));
+      settingsFailure.faults().forEach(fault -> faults.add(faultJson(fault)));
     }
     return new OperatorAnswer(
         result.code(), ProblemDocument.CONTENT_TYPE, problem.toString(), result.retryAt());
--- a/administration/src/main/java/dev/ibishub/administration/OperatorCall.java
+++ b/administration/src/main/java/dev/ibishub/administration/OperatorCall.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * A call of the operator API by an operator whose token was checked.
+ * Call of the operator API by an authenticated operator.
  *
  * @param method the HTTP method
- * @param path behind {@code /admin/v1}, from the slash on
- * @param query decoded parameters
- * @param body the body, or empty
- * @param operator who calls
+ * @param path the path after {@code /admin/v1}, with its leading slash
+ * @param query the decoded query parameters
+ * @param body the request body, empty if there is none
+ * @param operator the authenticated operator
  */
 public record OperatorCall(
     String method,
