--- a/administration/src/main/java/dev/ibishub/administration/OperatorTokens.java
+++ b/administration/src/main/java/dev/ibishub/administration/OperatorTokens.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** Knows operators by their bearer tokens. Thread-safe. */
+/** Authentication of operators by their bearer tokens. Thread-safe. */
 public final class OperatorTokens {
   private static final String PREFIX = "Bearer ";
 
@@ -22,19 +22,19 @@
   }
 
   /**
-   * Finds the operator of a request. Every token is compared in full and in constant time, so that
-   * the time taken tells nothing about a token.
+   * Finds the operator of a request. The given token is compared with the token of every operator,
+   * each time in full and in constant time, so that response times reveal nothing about a token.
    *
-   * @param authorization the header {@code Authorization}, or null
-   * @return the operator, or empty where the header names none
+   * @param authorization the value of the {@code Authorization} header, or null
+   * @return the operator, or empty if the header holds no operator's token
    */
   public Optional<OperatorSettings> authenticate(String authorization) {
     if (authorization == null || !authorization.startsWith(PREFIX)) {
       return Optional.empty();
     }
-    byte[] given = authorization.substring(PREFIX.length()).strip().getBytes(UTF_8);
+    byte[] token = authorization.substring(PREFIX.length()).strip().getBytes(UTF_8);
     return operators.stream()
-        .filter(operator -> MessageDigest.isEqual(given, operator.token().getBytes(UTF_8)))
+        .filter(operator -> MessageDigest.isEqual(token, operator.token().getBytes(UTF_8)))
         .reduce((one, two) -> one);
   }
 }
