--- a/administration/src/main/java/dev/ibishub/administration/ConfigurationDifference.java
+++ b/administration/src/main/java/dev/ibishub/administration/ConfigurationDifference.java
@@ -12,8 +12,8 @@
 import java.util.stream.IntStream;
 
 /**
- * What differs between two revisions: by part, then by path, in which elements of lists go by their
- * name.
+ * Difference between two revisions of the configuration, by part (base or overlay) and then by
+ * path. A path identifies a list element by its name, or by its index if it has none.
  */
 final class ConfigurationDifference {
   private final ArrayNode changes = Json.array();
@@ -23,8 +23,8 @@
   /**
    * Compares two revisions.
    *
-   * @return objects with {@code part}, {@code path} and, where there is one, the value {@code from}
-   *     and {@code to}
+   * @return one object for each changed value, with {@code part}, {@code path}, and the old value
+   *     {@code from} and the new value {@code to} where they exist
    */
   static ArrayNode between(ConfigurationState from, ConfigurationState to) {
     ConfigurationDifference difference = new ConfigurationDifference();
@@ -36,8 +36,8 @@
   }
 
   private void compare(String part, String from, String to) {
-    Map<String, JsonNode> before = leaves(from);
-    Map<String, JsonNode> after = leaves(to);
+    Map<String, JsonNode> before = leafValues(from);
+    Map<String, JsonNode> after = leafValues(to);
     TreeSet<String> paths = new TreeSet<>(before.keySet());
     paths.addAll(after.keySet());
     paths.stream()
@@ -55,33 +55,35 @@
     }
   }
 
-  private static Map<String, JsonNode> leaves(String text) {
-    Map<String, JsonNode> leaves = new LinkedHashMap<>();
-    Json.parse(text.getBytes(UTF_8)).ifPresent(root -> collect("", root, leaves));
-    return leaves;
+  private static Map<String, JsonNode> leafValues(String text) {
+    Map<String, JsonNode> leafValues = new LinkedHashMap<>();
+    Json.parse(text.getBytes(UTF_8)).ifPresent(root -> collectLeaves("", root, leafValues));
+    return leafValues;
   }
 
-  private static void collect(String path, JsonNode node, Map<String, JsonNode> leaves) {
+  private static void collectLeaves(String path, JsonNode node, Map<String, JsonNode> leafValues) {
     if (node.isObject() && !node.isEmpty()) {
       node.properties()
           .forEach(
               entry ->
-                  collect(
+                  collectLeaves(
                       path.isEmpty() ? entry.getKey() : path + "." + entry.getKey(),
                       entry.getValue(),
-                      leaves));
+                      leafValues));
     } else if (node.isArray() && !node.isEmpty() && node.get(0).isObject()) {
       IntStream.range(0, node.size())
           .forEach(
               index ->
-                  collect(
-                      path + "[" + nameOf(node.get(index), index) + "]", node.get(index), leaves));
+                  collectLeaves(
+                      path + "[" + elementName(node.get(index), index) + "]",
+                      node.get(index),
+                      leafValues));
     } else {
-      leaves.put(path, node);
+      leafValues.put(path, node);
     }
   }
 
-  private static String nameOf(JsonNode element, int index) {
+  private static String elementName(JsonNode element, int index) {
     JsonNode name =
         element.path("name").isTextual() ? element.path("name") : element.path("target");
     return name.isTextual() ? name.asText() : Integer.toString(index);
--- a/administration/src/main/java/dev/ibishub/administration/Json.java
+++ b/administration/src/main/java/dev/ibishub/administration/Json.java
@@ -10,7 +10,7 @@
 import java.io.IOException;
 import java.util.Optional;
 
-/** JSON trees for the records and the operator API. */
+/** Factory and parser of JSON trees for log records and the operator API. */
 final class Json {
   private static final ObjectMapper MAPPER =
       JsonMapper.builder().enable(JsonReadFeature.ALLOW_JAVA_COMMENTS).build();
@@ -29,11 +29,11 @@
     try {
       return MAPPER.writeValueAsBytes(node);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a tree of JSON can always be written", e);
+      throw new IllegalStateException("cannot serialize a JSON tree", e);
     }
   }
 
-  /** Reads a value; empty for bytes that are none. */
+  /** Parses a JSON value; empty if the bytes are not valid JSON. */
   static Optional<JsonNode> parse(byte[] bytes) {
     try {
       return Optional.of(MAPPER.readTree(bytes)).filter(node -> !node.isMissingNode());
--- a/administration/src/main/java/dev/ibishub/administration/TargetOrders.java
+++ b/administration/src/main/java/dev/ibishub/administration/TargetOrders.java
@@ -2,17 +2,17 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** Gives operators' orders to targets. */
+/** Sender of operators' drain and undrain orders to targets. */
 @FunctionalInterface
 public interface TargetOrders {
   /**
-   * Gives an order.
+   * Sends an order to a target's agent.
    *
    * @param target the target's id
    * @param order {@code drain} or {@code undrain}
-   * @param operator who orders it
-   * @return done when the target's agent has taken it; fails with {@code NOT_FOUND}, {@code
-   *     TARGET_UNREACHABLE} or {@code ORDER_UNDECIDED}
+   * @param operator the name of the operator who gives the order
+   * @return completes once the target's agent has accepted the order; fails with {@code NOT_FOUND},
+   *     {@code TARGET_UNREACHABLE} or {@code ORDER_UNDECIDED}
    */
   CompletableFuture<Void> give(String target, String order, String operator);
 }
