--- a/settings/src/main/java/dev/ibishub/settings/Fault.java
+++ b/settings/src/main/java/dev/ibishub/settings/Fault.java
@@ -3,16 +3,16 @@
 import java.util.Optional;
 
 /**
- * One thing wrong in a file, with its place.
+ * Error in a file, with its location.
  *
- * @param file the name of the file as given
- * @param line from 1
- * @param column from 1
- * @param path keys and indexes from the root, as in {@code workspaces[2].weight}; empty for the
+ * @param file the name of the file, as the reader was given it
+ * @param line the line, from 1
+ * @param column the column, from 1
+ * @param path the keys and indexes from the root, as in {@code workspaces[2].weight}; empty for the
  *     root
- * @param problem what was met
- * @param expected what would have been right
- * @param nearestKey the known key nearest to an unknown one
+ * @param problem what is wrong
+ * @param expected what would be valid
+ * @param nearestKey the known key closest to an unknown one, empty if none is close
  */
 public record Fault(
     String file,
@@ -25,8 +25,8 @@
 
   @Override
   public String toString() {
-    String where = file + ":" + line + ":" + column + ": " + (path.isEmpty() ? "" : path + ": ");
-    return where
+    String location = file + ":" + line + ":" + column + ": " + (path.isEmpty() ? "" : path + ": ");
+    return location
         + problem
         + "; expected "
         + expected
--- a/settings/src/main/java/dev/ibishub/settings/LogFormat.java
+++ b/settings/src/main/java/dev/ibishub/settings/LogFormat.java
@@ -1,6 +1,6 @@
 package dev.ibishub.settings;
 
-/** How a line of a program's own log is written. */
+/** Format of the lines of a process's own log. */
 public enum LogFormat {
   KEY_VALUE,
   JSON;
--- a/settings/src/main/java/dev/ibishub/settings/OperatorSettings.java
+++ b/settings/src/main/java/dev/ibishub/settings/OperatorSettings.java
@@ -3,20 +3,20 @@
 import java.util.Locale;
 
 /**
- * An operator who may use the operator API of an entry.
+ * Operator who may use the operator API of an entry.
  *
- * @param name the name that the audit trail shows
- * @param token the bearer token; secret, so it is left out of {@link #toString}
+ * @param name the name shown in the audit trail
+ * @param token the bearer token; secret, so {@link #toString} omits it
  * @param role what the operator may do
  */
 public record OperatorSettings(String name, String token, Role role) {
-  /** What an operator may do; each role may do what the ones before it may. */
+  /** Permissions of an operator; each role includes those of the roles before it. */
   public enum Role {
     /** Reads configuration, status and audit trail. */
     VIEWER,
     /** Also publishes configuration and drains targets. */
     OPERATOR,
-    /** Also does what a later release keeps for administrators. */
+    /** Reserved for administrative actions of later releases; also has all permissions above. */
     ADMIN
   }
 
--- a/settings/src/main/java/dev/ibishub/settings/SettingsException.java
+++ b/settings/src/main/java/dev/ibishub/settings/SettingsException.java
@@ -3,16 +3,16 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** All that is wrong with a file or a set of files, in one answer. */
+/** Thrown with all faults of an invalid file or set of files. */
 public final class SettingsException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
   private final transient List<Fault> faults;
 
   /**
-   * Creates a failure.
+   * Creates an exception.
    *
-   * @param faults what is wrong, in the order of the files
+   * @param faults the faults, in the order of the files
    */
   public SettingsException(List<Fault> faults) {
     super(faults.stream().map(Fault::toString).collect(Collectors.joining("\n")));
--- a/settings/src/main/java/dev/ibishub/settings/TlsSettings.java
+++ b/settings/src/main/java/dev/ibishub/settings/TlsSettings.java
@@ -1,11 +1,11 @@
 package dev.ibishub.settings;
 
 /**
- * Key files for TLS between the project's processes.
+ * Certificate and key files for TLS between ibishub processes.
  *
  * @param certificateFile the process's own certificate chain, in PEM
  * @param keyFile the private key of the certificate, in PEM
- * @param trustFile the certificates that peers' certificates must lead to, in PEM
+ * @param trustFile the trust anchors of peers' certificate chains, in PEM
  */
 public record TlsSettings(String certificateFile, String keyFile, String trustFile) {
   static TlsSettings of(Section section) {
--- a/settings/src/main/java/dev/ibishub/settings/package-info.java
+++ b/settings/src/main/java/dev/ibishub/settings/package-info.java
@@ -1,2 +1,5 @@
-/** Checked settings of the processes and the published configuration, in JSON with comments. */
+/**
+ * Parsing and validation of process settings and of the published configuration, both JSON with
+ * comments.
+ */
 package dev.ibishub.settings;
