--- a/settings/src/main/java/dev/ibishub/settings/AgentSettings.java
+++ b/settings/src/main/java/dev/ibishub/settings/AgentSettings.java
@@ -6,32 +6,34 @@
 import java.util.Optional;
 
 /**
- * Settings of an {@code ibishub-agent}. docs/CONFIGURATION.md gives each key with unit, default and
- * limits; the components here are named as the keys.
+ * Settings of an {@code ibishub-agent}, which runs behind ibishub's own interface; on the users'
+ * platform, see {@link NodeSettings}. docs/CONFIGURATION.md documents each key with unit, default
+ * and limits; the components are named like the keys.
  *
- * @param targetId unique name of the target, as in the platform's list of VMs
+ * @param targetId the unique name of the target, as in the platform's list of VMs
  * @param zone the failure domain
- * @param site the site whose overlay holds here
- * @param host the IP number to listen on
- * @param port the port for entries; 0 takes any free one
- * @param metricsPort the port for metrics and health; 0 takes any free one
- * @param kind what stands behind the agent
- * @param engineUrl where the model engine answers, for {@link Kind#MODEL}
- * @param serviceUrl where the plain service answers, for {@link Kind#SERVICE}
+ * @param site the site whose overlay applies
+ * @param host the IP address to listen on
+ * @param port the port for entries; 0 picks any free port
+ * @param metricsPort the port for metrics and health; 0 picks any free port
+ * @param kind the kind of target that the agent fronts
+ * @param engineUrl the URL of the model engine, for {@link Kind#MODEL}
+ * @param serviceUrl the URL of the plain service, for {@link Kind#SERVICE}
  * @param service the name of the plain service, for {@link Kind#SERVICE}
- * @param group the group that the engine is a rank of
- * @param rank the engine's rank in the group
- * @param logUrl where the platform's log answers
- * @param virtualMachineListUrl where the platform's list of VMs can be read
- * @param weightStoreUrl where the weight store answers
+ * @param group the group that the engine is a rank of, if any
+ * @param rank the engine's rank in the group, from 0
+ * @param logUrl the URL of the platform's log
+ * @param virtualMachineListUrl the URL of the platform's list of VMs
+ * @param weightStoreUrl the URL of the weight store
  * @param logRetentionSeconds how long the platform's log keeps records, seconds
- * @param engineChecksFencing whether the engine refuses orders with an old fencing token
- * @param maximumQueued the most attempts that wait at the agent
- * @param maximumConcurrency the most attempts running on the target
- * @param drainSeconds the longest that a planned stop waits, seconds
- * @param streamBufferBytes bytes of each answer kept for a caller that resumes
- * @param keptAnswerBytes bytes of whole answers kept for calls that may not be repeated
- * @param logFormat how a line of the program's own log is written
+ * @param engineChecksFencing whether the engine rejects orders with an outdated fencing token
+ * @param maximumQueued the maximum number of attempts queued at the agent
+ * @param maximumConcurrency the maximum number of attempts running on the target
+ * @param drainSeconds the longest time that a planned stop waits for requests in flight, seconds
+ * @param streamBufferBytes how much of each answer is kept for callers that resume, bytes
+ * @param keptAnswerBytes how much of complete answers is kept in total for calls that must not be
+ *     repeated, bytes
+ * @param logFormat the format of the lines of the process's own log
  * @param tls key files for TLS between processes
  */
 public record AgentSettings(
@@ -60,17 +62,18 @@
     LogFormat logFormat,
     Optional<TlsSettings> tls) {
 
-  /** What stands behind an agent. */
+  /** Kind of target that an agent fronts. */
   public enum Kind {
     MODEL,
     SERVICE
   }
 
-  private static final int HIGHEST_RANK = 4_095;
+  private static final int MAXIMUM_RANK = 4_095;
 
   static final ObjectSchema SCHEMA =
       ObjectSchema.of(
-          Key.text("targetId", Forms.NAME, "Unique name of the target, as in the list of VMs."),
+          Key.text(
+              "targetId", TextFormats.NAME, "Unique name of the target, as in the list of VMs."),
           CommonKeys.ZONE,
           CommonKeys.SITE,
           CommonKeys.HOST,
@@ -79,21 +82,24 @@
               .defaultingTo(0L),
           Key.text(
               "kind",
-              Forms.oneOf("model", "service"),
+              TextFormats.oneOf("model", "service"),
               "What stands behind the agent: a model engine or a plain service."),
-          Key.text("engineUrl", Forms.URL, "Where the model engine answers; for kind model.")
+          Key.text("engineUrl", TextFormats.URL, "Where the model engine answers; for kind model.")
               .optional(),
-          Key.text("serviceUrl", Forms.URL, "Where the plain service answers; for kind service.")
+          Key.text(
+                  "serviceUrl",
+                  TextFormats.URL,
+                  "Where the plain service answers; for kind service.")
               .optional(),
-          Key.text("service", Forms.NAME, "Name of the plain service; for kind service.")
+          Key.text("service", TextFormats.NAME, "Name of the plain service; for kind service.")
               .optional(),
-          Key.text("group", Forms.NAME, "Group that the engine is a rank of; with rank.")
+          Key.text("group", TextFormats.NAME, "Group that the engine is a rank of; with rank.")
               .optional(),
-          Key.integer("rank", "", 0, HIGHEST_RANK, "The engine's rank in its group, from 0.")
+          Key.integer("rank", "", 0, MAXIMUM_RANK, "The engine's rank in its group, from 0.")
               .optional(),
           CommonKeys.LOG_URL,
           CommonKeys.VIRTUAL_MACHINE_LIST_URL,
-          Key.text("weightStoreUrl", Forms.URL, "Where the weight store answers.").optional(),
+          Key.text("weightStoreUrl", TextFormats.URL, "Where the weight store answers.").optional(),
           CommonKeys.LOG_RETENTION_SECONDS,
           Key.flag(
                   "engineChecksFencing",
@@ -126,50 +132,50 @@
    *
    * @param path the file
    * @return the settings
-   * @throws SettingsException with all that is wrong with the file
+   * @throws SettingsException with all faults of the file
    */
   public static AgentSettings read(Path path) {
-    return parse(path.toString(), SettingsFiles.text(path));
+    return parse(path.toString(), SettingsFiles.read(path));
   }
 
   /**
    * Reads settings from a text.
    *
-   * @param file the name of the text for faults
+   * @param file the name of the text in faults
    * @param text JSON with comments
    * @return the settings
-   * @throws SettingsException with all that is wrong with the text
+   * @throws SettingsException with all faults of the text
    */
   public static AgentSettings parse(String file, String text) {
     return SettingsFiles.parse(file, text, SCHEMA, AgentSettings::check, AgentSettings::of);
   }
 
   private static void check(Section root, List<Fault> faults) {
-    boolean model = root.text("kind").equals("model");
-    if (model) {
-      need(root, "engineUrl", faults);
-      refuse(root, List.of("serviceUrl", "service"), faults);
+    boolean isModel = root.text("kind").equals("model");
+    if (isModel) {
+      requireKey(root, "engineUrl", faults);
+      rejectKeys(root, List.of("serviceUrl", "service"), faults);
     } else {
-      need(root, "serviceUrl", faults);
-      need(root, "service", faults);
-      refuse(root, List.of("engineUrl", "group", "rank", "weightStoreUrl"), faults);
+      requireKey(root, "serviceUrl", faults);
+      requireKey(root, "service", faults);
+      rejectKeys(root, List.of("engineUrl", "group", "rank", "weightStoreUrl"), faults);
     }
-    if (root.gives("group") != root.gives("rank")) {
-      String given = root.gives("group") ? "group" : "rank";
+    if (root.isSet("group") != root.isSet("rank")) {
+      String given = root.isSet("group") ? "group" : "rank";
       faults.add(root.fault(given, "one of group and rank alone", "both or neither"));
     }
   }
 
-  private static void need(Section root, String key, List<Fault> faults) {
-    if (!root.gives(key)) {
+  private static void requireKey(Section root, String key, List<Fault> faults) {
+    if (!root.isSet(key)) {
       String problem = "the key \"" + key + "\" is missing";
       faults.add(root.fault(key, problem, "a value, as kind is " + root.text("kind")));
     }
   }
 
-  private static void refuse(Section root, List<String> keys, List<Fault> faults) {
+  private static void rejectKeys(Section root, List<String> keys, List<Fault> faults) {
     keys.stream()
-        .filter(root::gives)
+        .filter(root::isSet)
         .map(key -> root.fault(key, "has no meaning for kind " + root.text("kind"), "it left out"))
         .forEach(faults::add);
   }
--- a/settings/src/main/java/dev/ibishub/settings/CommonKeys.java
+++ b/settings/src/main/java/dev/ibishub/settings/CommonKeys.java
@@ -1,29 +1,32 @@
 package dev.ibishub.settings;
 
-/** The keys that the settings of several programs share. */
+/** Keys that are common to the settings of several kinds of process. */
 final class CommonKeys {
-  static final int HIGHEST_PORT = 65_535;
-  static final int LONGEST_SECONDS = 86_400;
+  static final int MAXIMUM_PORT = 65_535;
+  static final int MAXIMUM_SECONDS = 86_400;
 
   static final Key ZONE =
-      Key.text("zone", Forms.NAME, "The failure domain in which the process runs.");
+      Key.text("zone", TextFormats.NAME, "The failure domain in which the process runs.");
   static final Key SITE =
-      Key.text("site", Forms.NAME, "The site whose overlay of the configuration holds here.");
+      Key.text("site", TextFormats.NAME, "The site whose overlay of the configuration holds here.");
   static final Key HOST =
-      Key.text("host", Forms.ADDRESS, "The IP number on which the process listens.");
+      Key.text("host", TextFormats.ADDRESS, "The IP number on which the process listens.");
   static final Key LOG_URL =
-      Key.text("logUrl", Forms.URL, "Where the platform's append-only log answers.");
+      Key.text("logUrl", TextFormats.URL, "Where the platform's append-only log answers.");
   static final Key VIRTUAL_MACHINE_LIST_URL =
-      Key.text("virtualMachineListUrl", Forms.URL, "Where the platform's list of VMs can be read.");
+      Key.text(
+          "virtualMachineListUrl",
+          TextFormats.URL,
+          "Where the platform's list of VMs can be read.");
   static final Key LOG_RETENTION_SECONDS =
       Key.integer(
               "logRetentionSeconds",
               "s",
               10,
-              366L * LONGEST_SECONDS,
+              366L * MAXIMUM_SECONDS,
               "How long the platform's log keeps records; the configuration is appended again well"
                   + " before its newest record is that old.")
-          .defaultingTo((long) LONGEST_SECONDS);
+          .defaultingTo((long) MAXIMUM_SECONDS);
   static final Key DRAIN_SECONDS =
       seconds(
           "drainSeconds",
@@ -33,7 +36,7 @@
   static final Key LOG_FORMAT =
       Key.text(
               "logFormat",
-              Forms.oneOf("key-value", "json"),
+              TextFormats.oneOf("key-value", "json"),
               "How a line of the program's own log is written.")
           .defaultingTo("key-value");
   static final Key TLS =
@@ -41,22 +44,24 @@
           "tls",
           ObjectSchema.of(
               Key.text(
-                  "certificateFile", Forms.FILE, "The process's own certificate chain, in PEM."),
-              Key.text("keyFile", Forms.FILE, "The private key of the certificate, in PEM."),
+                  "certificateFile",
+                  TextFormats.FILE,
+                  "The process's own certificate chain, in PEM."),
+              Key.text("keyFile", TextFormats.FILE, "The private key of the certificate, in PEM."),
               Key.text(
                   "trustFile",
-                  Forms.FILE,
+                  TextFormats.FILE,
                   "The certificates, in PEM, that peers' certificates must lead to.")),
           "TLS with client certificates between the project's processes; without it they talk in"
               + " clear.");
 
   private CommonKeys() {}
 
-  static Key seconds(String name, long defaultValue, String sentence) {
-    return Key.integer(name, "s", 1, LONGEST_SECONDS, sentence).defaultingTo(defaultValue);
+  static Key seconds(String name, long defaultValue, String description) {
+    return Key.integer(name, "s", 1, MAXIMUM_SECONDS, description).defaultingTo(defaultValue);
   }
 
-  static Key port(String name, String sentence) {
-    return Key.integer(name, "", 0, HIGHEST_PORT, sentence);
+  static Key port(String name, String description) {
+    return Key.integer(name, "", 0, MAXIMUM_PORT, description);
   }
 }
--- a/settings/src/main/java/dev/ibishub/settings/ConfigurationDocument.java
+++ b/settings/src/main/java/dev/ibishub/settings/ConfigurationDocument.java
@@ -16,7 +16,7 @@
 import java.util.stream.Collectors;
 
 /**
- * A checked base configuration with the overlays of its sites. Immutable, so thread-safe.
+ * Validated base configuration with the overlays of its sites. Immutable, so thread-safe.
  *
  * <p>Example: {@code ConfigurationDocument.parse(base, overlays).merged(revision, "tbilisi")}.
  */
@@ -30,7 +30,7 @@
   }
 
   /**
-   * A text with the name that faults give it.
+   * Text with the name that identifies it in faults.
    *
    * @param file the name, such as the path of a file
    * @param text JSON with comments
@@ -38,12 +38,12 @@
   public record Source(String file, String text) {}
 
   /**
-   * Checks a base with its overlays.
+   * Parses and validates a base with its overlays.
    *
-   * @param base the base
-   * @param overlays the overlays by the name of their site
-   * @return the checked document
-   * @throws SettingsException with all that is wrong in all of the texts
+   * @param base the text of the base
+   * @param overlays the texts of the overlays by the name of their site
+   * @return the validated document
+   * @throws SettingsException with all faults of all the texts
    */
   public static ConfigurationDocument parse(Source base, Map<String, Source> overlays) {
     List<Fault> faults = new ArrayList<>();
@@ -69,23 +69,23 @@
   }
 
   /**
-   * Lays a site's overlay over the base.
+   * Merges a site's overlay into the base.
    *
-   * @param revision the number that the result carries
-   * @param site the site; one that has no overlay gets the base alone
-   * @return what is in force at the site
+   * @param revision the revision number of the result
+   * @param site the site; without an overlay, the base applies unchanged
+   * @return the configuration of the site
    */
   public Configuration merged(long revision, String site) {
     Optional<Section> overlay = Optional.ofNullable(overlays.get(site));
     SiteSections sections = new SiteSections(base, overlay, fault -> {});
     Map<String, Configuration.Workspace> workspaces =
-        served(
+        servedOnly(
             sections.merged("workspaces", "name", PublishedKeys.WORKSPACE),
             overlay,
             "servedWorkspaces",
             ConfigurationDocument::workspace);
     Map<String, Configuration.Model> models =
-        served(
+        servedOnly(
             sections.merged("models", "name", PublishedKeys.MODEL),
             overlay,
             "servedModels",
@@ -96,11 +96,12 @@
         zones(site),
         workspaces,
         models,
-        made(sections.merged("groups", "name", PublishedKeys.GROUP), ConfigurationDocument::group),
-        made(
+        convertAll(
+            sections.merged("groups", "name", PublishedKeys.GROUP), ConfigurationDocument::group),
+        convertAll(
             sections.merged("services", "name", PublishedKeys.SERVICE),
             ConfigurationDocument::service),
-        made(
+        convertAll(
             sections.merged("placements", "target", PublishedKeys.PLACEMENT),
             ConfigurationDocument::placement));
   }
@@ -150,20 +151,23 @@
     Map<String, Section> models = sections.merged("models", "name", PublishedKeys.MODEL);
     Map<String, Section> groups = sections.merged("groups", "name", PublishedKeys.GROUP);
     Map<String, Section> services = sections.merged("services", "name", PublishedKeys.SERVICE);
-    checks.keys(workspaces.values());
-    checks.weights(groups.values());
-    models.values().forEach(model -> checks.reference(model, "group", "group", groups.keySet()));
+    checks.checkKeys(workspaces.values());
+    checks.checkWeights(groups.values());
+    models
+        .values()
+        .forEach(model -> checks.checkReference(model, "group", "group", groups.keySet()));
     sections
         .merged("placements", "target", PublishedKeys.PLACEMENT)
         .values()
-        .forEach(placement -> checks.placement(placement, models, services.keySet()));
+        .forEach(placement -> checks.checkPlacement(placement, models, services.keySet()));
     overlay.ifPresent(
-        over -> {
-          if (over.gives("servedWorkspaces")) {
-            checks.references(over, "servedWorkspaces", "workspace", workspaces.keySet());
+        overlaySection -> {
+          if (overlaySection.isSet("servedWorkspaces")) {
+            checks.checkReferences(
+                overlaySection, "servedWorkspaces", "workspace", workspaces.keySet());
           }
-          if (over.gives("servedModels")) {
-            checks.references(over, "servedModels", "model", models.keySet());
+          if (overlaySection.isSet("servedModels")) {
+            checks.checkReferences(overlaySection, "servedModels", "model", models.keySet());
           }
         });
   }
@@ -175,25 +179,26 @@
         .toList();
   }
 
-  private static <T> Map<String, T> served(
+  private static <T> Map<String, T> servedOnly(
       Map<String, Section> sections,
       Optional<Section> overlay,
       String key,
-      Function<Section, T> make) {
-    Map<String, T> made = made(sections, make);
+      Function<Section, T> convert) {
+    Map<String, T> all = convertAll(sections, convert);
     return overlay
-        .filter(over -> over.gives(key))
-        .map(over -> keep(made, over.texts(key)))
-        .orElse(made);
+        .filter(overlaySection -> overlaySection.isSet(key))
+        .map(overlaySection -> selectNamed(all, overlaySection.texts(key)))
+        .orElse(all);
   }
 
-  private static <T> Map<String, T> keep(Map<String, T> all, Collection<String> names) {
+  private static <T> Map<String, T> selectNamed(Map<String, T> all, Collection<String> names) {
     return names.stream().distinct().collect(Collectors.toMap(Function.identity(), all::get));
   }
 
-  private static <T> Map<String, T> made(Map<String, Section> sections, Function<Section, T> make) {
+  private static <T> Map<String, T> convertAll(
+      Map<String, Section> sections, Function<Section, T> convert) {
     return sections.entrySet().stream()
-        .collect(Collectors.toMap(Map.Entry::getKey, entry -> make.apply(entry.getValue())));
+        .collect(Collectors.toMap(Map.Entry::getKey, entry -> convert.apply(entry.getValue())));
   }
 
   private static Configuration.Workspace workspace(Section section) {
--- a/settings/src/main/java/dev/ibishub/settings/EntrySettings.java
+++ b/settings/src/main/java/dev/ibishub/settings/EntrySettings.java
@@ -8,29 +8,30 @@
 import java.util.stream.IntStream;
 
 /**
- * Settings of an {@code ibishub-entry}. docs/CONFIGURATION.md gives each key with unit, default and
- * limits; the components here are named as the keys.
+ * Settings of an {@code ibishub-entry}, which runs behind ibishub's own interface; on the users'
+ * platform, see {@link NodeSettings}. docs/CONFIGURATION.md documents each key with unit, default
+ * and limits; the components are named like the keys.
  *
- * @param processId unique name of the process, as in the platform's list of VMs
+ * @param processId the unique name of the process, as in the platform's list of VMs
  * @param zone the failure domain
- * @param site the site whose overlay holds here
- * @param host the IP number to listen on
- * @param callerPort the port for callers and operators; 0 takes any free one
- * @param peerPort the port for the project's own processes; 0 takes any free one
- * @param callerUrl what callers are told to connect to, where it is not host and callerPort
- * @param logUrl where the platform's log answers
- * @param virtualMachineListUrl where the platform's list of VMs can be read
+ * @param site the site whose overlay applies
+ * @param host the IP address to listen on
+ * @param callerPort the port for callers and operators; 0 picks any free port
+ * @param peerPort the port for other ibishub processes; 0 picks any free port
+ * @param callerUrl the URL that callers are told to use; if empty, host and callerPort
+ * @param logUrl the URL of the platform's log
+ * @param virtualMachineListUrl the URL of the platform's list of VMs
  * @param logRetentionSeconds how long the platform's log keeps records, seconds
- * @param operators who may use the operator API
- * @param maximumBodyBytes the largest body of a request, bytes
- * @param maximumHeaderBytes the largest header of a request, bytes
- * @param maximumConcurrentStreams the most requests in flight
- * @param maximumStreamsPerCaller the most requests in flight of one caller address
+ * @param operators the operators who may use the operator API
+ * @param maximumBodyBytes the maximum size of a request's body, bytes
+ * @param maximumHeaderBytes the maximum size of a request's header, bytes
+ * @param maximumConcurrentStreams the maximum number of requests in flight
+ * @param maximumStreamsPerCaller the maximum number of requests in flight from one caller address
  * @param slowSenderSeconds how long a request may take to arrive in full, seconds
- * @param requestTimeoutSeconds the deadline of a request that gives none, seconds from its arrival
- * @param drainSeconds the longest that a planned stop waits, seconds
- * @param addressValiditySeconds how long callers may keep an answer with addresses, seconds
- * @param logFormat how a line of the program's own log is written
+ * @param requestTimeoutSeconds the deadline of requests that set none, seconds from arrival
+ * @param drainSeconds the longest time that a planned stop waits for requests in flight, seconds
+ * @param addressValiditySeconds how long callers may cache an answer with addresses, seconds
+ * @param logFormat the format of the lines of the process's own log
  * @param tls key files for TLS between processes
  */
 public record EntrySettings(
@@ -58,7 +59,8 @@
 
   static final ObjectSchema SCHEMA =
       ObjectSchema.of(
-          Key.text("processId", Forms.NAME, "Unique name of the process, as in the list of VMs."),
+          Key.text(
+              "processId", TextFormats.NAME, "Unique name of the process, as in the list of VMs."),
           CommonKeys.ZONE,
           CommonKeys.SITE,
           CommonKeys.HOST,
@@ -67,7 +69,7 @@
               "peerPort", "Port for the project's own processes; 0 takes any free one."),
           Key.text(
                   "callerUrl",
-                  Forms.URL,
+                  TextFormats.URL,
                   "What callers are told to connect to; left out, it is made of host and"
                       + " callerPort.")
               .optional(),
@@ -77,11 +79,11 @@
           Key.sections(
               "operators",
               ObjectSchema.of(
-                  Key.text("name", Forms.NAME, "Name that the audit trail shows."),
-                  Key.text("token", Forms.SECRET, "Bearer token of the operator; secret."),
+                  Key.text("name", TextFormats.NAME, "Name that the audit trail shows."),
+                  Key.text("token", TextFormats.SECRET, "Bearer token of the operator; secret."),
                   Key.text(
                       "role",
-                      Forms.oneOf("viewer", "operator", "admin"),
+                      TextFormats.oneOf("viewer", "operator", "admin"),
                       "What the operator may do: viewer reads, operator also publishes and drains,"
                           + " admin may do all.")),
               "Who may use the operator API."),
@@ -117,19 +119,19 @@
    *
    * @param path the file
    * @return the settings
-   * @throws SettingsException with all that is wrong with the file
+   * @throws SettingsException with all faults of the file
    */
   public static EntrySettings read(Path path) {
-    return parse(path.toString(), SettingsFiles.text(path));
+    return parse(path.toString(), SettingsFiles.read(path));
   }
 
   /**
    * Reads settings from a text.
    *
-   * @param file the name of the text for faults
+   * @param file the name of the text in faults
    * @param text JSON with comments
    * @return the settings
-   * @throws SettingsException with all that is wrong with the text
+   * @throws SettingsException with all faults of the text
    */
   public static EntrySettings parse(String file, String text) {
     return SettingsFiles.parse(file, text, SCHEMA, EntrySettings::check, EntrySettings::of);
--- a/settings/src/main/java/dev/ibishub/settings/KeyLimits.java
+++ b/settings/src/main/java/dev/ibishub/settings/KeyLimits.java
@@ -2,23 +2,24 @@
 
 import java.math.BigDecimal;
 
-/** The words that faults and docs/CONFIGURATION.md use for a key's limits. */
+/** Descriptions of keys' limits, as used in faults and docs/CONFIGURATION.md. */
 final class KeyLimits {
   private KeyLimits() {}
 
-  static String words(Key key) {
+  static String describe(Key key) {
     return switch (key.type()) {
-      case TEXT -> key.form().words();
+      case TEXT -> key.format().description();
       case TEXT_LIST ->
-          (key.minimum() > 0 ? "at least " + plain(key.minimum()) : "")
-              + (key.form().words().isEmpty() ? "" : " each " + key.form().words()).strip();
-      case INTEGER, NUMBER -> plain(key.minimum()) + " to " + plain(key.maximum());
+          (key.minimum() > 0 ? "at least " + decimal(key.minimum()) : "")
+              + (key.format().description().isEmpty() ? "" : " each " + key.format().description())
+                  .strip();
+      case INTEGER, NUMBER -> decimal(key.minimum()) + " to " + decimal(key.maximum());
       case BOOLEAN -> "true or false";
       case OBJECT, OBJECT_LIST -> "";
     };
   }
 
-  private static String plain(double number) {
+  private static String decimal(double number) {
     return BigDecimal.valueOf(number).stripTrailingZeros().toPlainString();
   }
 }
--- a/settings/src/main/java/dev/ibishub/settings/LocatedJson.java
+++ b/settings/src/main/java/dev/ibishub/settings/LocatedJson.java
@@ -14,13 +14,16 @@
 import java.util.Optional;
 import java.util.regex.Pattern;
 
-/** Reads JSON with comments into values that know their line and column. */
+/** Parser of JSON with comments into values with their line and column. */
 final class LocatedJson {
   private static final JsonFactory FACTORY =
       JsonFactory.builder().enable(JsonReadFeature.ALLOW_JAVA_COMMENTS).build();
 
-  /** The library's own words for a place, with a part about its source that says nothing. */
-  private static final Pattern PLACE = Pattern.compile("\\[Source:[^;]*; (line: [^\\]]*)\\]");
+  /**
+   * Location in a message of Jackson, with a description of the source that carries no information.
+   */
+  private static final Pattern SOURCE_LOCATION =
+      Pattern.compile("\\[Source:[^;]*; (line: [^\\]]*)\\]");
 
   private final String file;
   private final JsonParser parser;
@@ -33,12 +36,12 @@
   }
 
   /**
-   * Reads a whole text.
+   * Parses a whole text.
    *
-   * @param file the name for faults
+   * @param file the name of the text in faults
    * @param text JSON with comments
-   * @param faults takes what is wrong: duplicate keys, or the first place that is no JSON
-   * @return the root, or empty where the text is no JSON
+   * @param faults receives duplicate keys, content after the end, or the first syntax error
+   * @return the root, or empty if the text is not valid JSON
    */
   static Optional<LocatedValue> parse(String file, String text, List<Fault> faults) {
     try (JsonParser parser = FACTORY.createParser(text)) {
@@ -49,18 +52,18 @@
       }
       LocatedValue root = reader.value("");
       if (parser.nextToken() != null) {
-        reader.fault(parser.currentTokenLocation(), "", "content after the end", "one object");
+        reader.addFault(parser.currentTokenLocation(), "", "content after the end", "one object");
       }
       return Optional.of(root);
     } catch (JsonProcessingException e) {
-      JsonLocation at = e.getLocation();
+      JsonLocation location = e.getLocation();
       faults.add(
           new Fault(
               file,
-              at.getLineNr(),
-              at.getColumnNr(),
+              location.getLineNr(),
+              location.getColumnNr(),
               "",
-              "not JSON: " + PLACE.matcher(e.getOriginalMessage()).replaceAll("$1"),
+              "not JSON: " + SOURCE_LOCATION.matcher(e.getOriginalMessage()).replaceAll("$1"),
               "JSON with // or /* */ comments",
               Optional.empty()));
       return Optional.empty();
@@ -70,7 +73,7 @@
   }
 
   private LocatedValue value(String path) throws IOException {
-    JsonLocation at = parser.currentTokenLocation();
+    JsonLocation location = parser.currentTokenLocation();
     Object value =
         switch (parser.currentToken()) {
           case START_OBJECT -> object(path);
@@ -82,7 +85,7 @@
           case VALUE_FALSE -> false;
           default -> null;
         };
-    return new LocatedValue(value, at.getLineNr(), at.getColumnNr());
+    return new LocatedValue(value, location.getLineNr(), location.getColumnNr());
   }
 
   private Object integer() throws IOException {
@@ -95,12 +98,12 @@
     Map<String, LocatedValue> members = new LinkedHashMap<>();
     while (parser.nextToken() != JsonToken.END_OBJECT) {
       String key = parser.currentName();
-      JsonLocation at = parser.currentTokenLocation();
-      String member = Paths.member(path, key);
+      JsonLocation location = parser.currentTokenLocation();
+      String member = ValuePaths.member(path, key);
       parser.nextToken();
       LocatedValue value = value(member);
       if (members.putIfAbsent(key, value) != null) {
-        fault(at, member, "the key is given twice", "each key once");
+        addFault(location, member, "the key is given twice", "each key once");
       }
     }
     return members;
@@ -109,14 +112,20 @@
   private List<LocatedValue> list(String path) throws IOException {
     List<LocatedValue> elements = new ArrayList<>();
     while (parser.nextToken() != JsonToken.END_ARRAY) {
-      elements.add(value(Paths.element(path, elements.size())));
+      elements.add(value(ValuePaths.element(path, elements.size())));
     }
     return elements;
   }
 
-  private void fault(JsonLocation at, String path, String problem, String expected) {
+  private void addFault(JsonLocation location, String path, String problem, String expected) {
     faults.add(
         new Fault(
-            file, at.getLineNr(), at.getColumnNr(), path, problem, expected, Optional.empty()));
+            file,
+            location.getLineNr(),
+            location.getColumnNr(),
+            path,
+            problem,
+            expected,
+            Optional.empty()));
   }
 }
--- a/settings/src/main/java/dev/ibishub/settings/LocatedValue.java
+++ b/settings/src/main/java/dev/ibishub/settings/LocatedValue.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * A JSON value with its place in a file.
+ * JSON value with its location in a file.
  *
  * @param value a {@code Map} or {@code List} of located values, a String, Long, Double, Boolean, or
  *     null
- * @param line from 1
- * @param column from 1
+ * @param line the line, from 1
+ * @param column the column, from 1
  */
 record LocatedValue(Object value, int line, int column) {
   @SuppressWarnings("unchecked")
@@ -22,8 +22,8 @@
     return (List<LocatedValue>) value;
   }
 
-  /** Names the value's type as a fault shows it. */
-  String kind() {
+  /** Returns the name of the value's type for faults. */
+  String typeName() {
     if (value == null) {
       return "null";
     }
--- a/settings/src/main/java/dev/ibishub/settings/NodeSettings.java
+++ b/settings/src/main/java/dev/ibishub/settings/NodeSettings.java
@@ -7,27 +7,28 @@
 import java.util.function.Function;
 
 /**
- * Settings of an {@code ibishub-node}, the program that runs on the users' platform.
- * docs/CONFIGURATION.md gives each key with unit, default and limits; the components here are named
- * as the keys.
+ * Settings of an {@code ibishub-node}, the entry or agent that runs on the users' platform.
+ * docs/CONFIGURATION.md documents each key with unit, default and limits; the components are named
+ * like the keys. Behind ibishub's own interface, {@link EntrySettings} and {@link AgentSettings}
+ * are used instead.
  *
- * @param processId unique name of the process
- * @param zone its failure domain
- * @param host the IP number of its VM
+ * @param processId the unique name of the process
+ * @param zone the failure domain of the process
+ * @param host the IP address of its VM
  * @param linkPort the port for links between entries and agents, the same on all VMs
- * @param seeds IP numbers of entries to begin with; they may be out of date
- * @param callerAddress where callers' requests are taken, for an entry
- * @param readinessAddress where the platform asks whether the entry is ready
- * @param directoryAddress where callers ask which addresses to use
- * @param storeAddress where the platform's store answers, for an entry
- * @param engineAddress where the target on this VM answers, for an agent
- * @param addressValiditySeconds how long callers may keep an answer, seconds
- * @param longestAddressValiditySeconds how much of it counts, seconds
- * @param graceSeconds time between the signal to stop and the end by force, seconds
- * @param retriesPerRequest retries that each request earns
- * @param sharedRetryAllowance retries in a window that all entries have besides
- * @param retryWindowSeconds length of that window, seconds
- * @param metricsPort the port for metrics; 0 for none
+ * @param seeds the initial addresses of entries; may be out of date
+ * @param callerAddress the address that accepts callers' requests; entries only
+ * @param readinessAddress the address of the readiness check for the platform; entries only
+ * @param directoryAddress the address where callers look up which addresses to use; entries only
+ * @param storeAddress the address of the platform's store; entries only
+ * @param engineAddress the address of the target on this VM; agents only
+ * @param addressValiditySeconds how long callers may cache a looked-up address, seconds
+ * @param longestAddressValiditySeconds the longest validity that callers honor, seconds
+ * @param graceSeconds the time between the stop signal and the forced kill, seconds
+ * @param retriesPerRequest the number of retries that each request adds to the retry budget
+ * @param sharedRetryAllowance the additional retries per window, shared by all entries
+ * @param retryWindowSeconds the length of the retry window, seconds
+ * @param metricsPort the port for metrics; 0 for no metrics
  * @param isFirstStart whether the whole system starts for the first time
  */
 public record NodeSettings(
@@ -52,21 +53,24 @@
 
   static final ObjectSchema SCHEMA =
       ObjectSchema.of(
-          Key.text("processId", Forms.NAME, "Unique name of the process."),
+          Key.text("processId", TextFormats.NAME, "Unique name of the process."),
           CommonKeys.ZONE,
           CommonKeys.HOST,
           CommonKeys.port(
               "linkPort", "Port for links between entries and agents, the same on all VMs."),
           Key.texts(
               "seeds",
-              Forms.SOCKET,
+              TextFormats.SOCKET,
               "Addresses of entries to begin with; they may be out of date."),
-          Key.text("callerAddress", Forms.SOCKET, "Where callers' requests are taken.").optional(),
-          Key.text("readinessAddress", Forms.SOCKET, "Where the platform asks for readiness.")
+          Key.text("callerAddress", TextFormats.SOCKET, "Where callers' requests are taken.")
               .optional(),
-          Key.text("directoryAddress", Forms.SOCKET, "Where callers ask for addresses.").optional(),
-          Key.text("storeAddress", Forms.SOCKET, "Where the platform's store answers.").optional(),
-          Key.text("engineAddress", Forms.SOCKET, "Where the target on this VM answers.")
+          Key.text("readinessAddress", TextFormats.SOCKET, "Where the platform asks for readiness.")
+              .optional(),
+          Key.text("directoryAddress", TextFormats.SOCKET, "Where callers ask for addresses.")
+              .optional(),
+          Key.text("storeAddress", TextFormats.SOCKET, "Where the platform's store answers.")
+              .optional(),
+          Key.text("engineAddress", TextFormats.SOCKET, "Where the target on this VM answers.")
               .optional(),
           Key.number("addressValiditySeconds", "s", 0.1, 60, "How long callers may keep an answer.")
               .defaultingTo(2.0),
@@ -99,7 +103,7 @@
           Key.flag("firstStart", "Whether the whole system starts for the first time.")
               .defaultingTo(false));
 
-  private static final Map<String, Function<NodeSettings, Object>> FIXED =
+  private static final Map<String, Function<NodeSettings, Object>> FIXED_KEYS =
       Map.of(
           "processId", NodeSettings::processId,
           "zone", NodeSettings::zone,
@@ -112,7 +116,7 @@
           "engineAddress", NodeSettings::engineAddress,
           "metricsPort", NodeSettings::metricsPort);
 
-  /** Copies the seeds. */
+  /** Makes a defensive copy of the seeds. */
   public NodeSettings {
     seeds = List.copyOf(seeds);
   }
@@ -120,33 +124,36 @@
   /**
    * Reads a settings file.
    *
-   * @throws SettingsException with all that is wrong with the file
+   * @throws SettingsException with all faults of the file
    */
   public static NodeSettings read(Path path) {
-    return parse(path.toString(), SettingsFiles.text(path));
+    return parse(path.toString(), SettingsFiles.read(path));
   }
 
   /**
    * Reads settings from a text.
    *
-   * @param file the name of the text for faults
+   * @param file the name of the text in faults
    * @param text JSON with comments
-   * @throws SettingsException with all that is wrong with the text
+   * @throws SettingsException with all faults of the text
    */
   public static NodeSettings parse(String file, String text) {
     return SettingsFiles.parse(file, text, SCHEMA, NodeSettings::check, NodeSettings::of);
   }
 
-  /** Returns the keys of names and addresses, fixed while a process runs, that differ. */
+  /** Returns the keys whose values differ and cannot change while a process runs, sorted. */
   public List<String> fixedDifferences(NodeSettings other) {
-    return FIXED.entrySet().stream()
+    return FIXED_KEYS.entrySet().stream()
         .filter(key -> !key.getValue().apply(this).equals(key.getValue().apply(other)))
         .map(Map.Entry::getKey)
         .sorted()
         .toList();
   }
 
-  /** Returns these settings with the names and addresses of others. */
+  /**
+   * Returns these settings with the values of other settings for the keys that cannot change while
+   * a process runs.
+   */
   public NodeSettings withFixedOf(NodeSettings other) {
     return new NodeSettings(
         other.processId,
@@ -170,11 +177,11 @@
   }
 
   private static void check(Section root, List<Fault> faults) {
-    List<String> ofEntries =
+    List<String> entryKeys =
         List.of("callerAddress", "readinessAddress", "directoryAddress", "storeAddress");
-    boolean isAgent = root.gives("engineAddress");
-    ofEntries.stream()
-        .filter(key -> root.gives(key) == isAgent)
+    boolean isAgent = root.isSet("engineAddress");
+    entryKeys.stream()
+        .filter(key -> root.isSet(key) == isAgent)
         .map(
             key ->
                 isAgent
--- a/settings/src/main/java/dev/ibishub/settings/ObjectSchema.java
+++ b/settings/src/main/java/dev/ibishub/settings/ObjectSchema.java
@@ -9,10 +9,10 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** The keys that an object may have, in the order of the page. */
+/** Keys that an object may have, in the order of docs/CONFIGURATION.md. */
 record ObjectSchema(Map<String, Key> keys) {
-  /** Beyond this many edits a known key is no likely meaning of an unknown one. */
-  private static final int MAXIMUM_EDITS = 4;
+  /** Maximum edit distance at which a known key is suggested for an unknown one. */
+  private static final int MAXIMUM_EDIT_DISTANCE = 4;
 
   static ObjectSchema of(Key... keys) {
     return new ObjectSchema(
@@ -22,22 +22,28 @@
                     Key::name, Function.identity(), (one, two) -> one, LinkedHashMap::new)));
   }
 
-  /** Returns this schema with all keys but one free to be left out and without defaults. */
-  ObjectSchema partial(String needed) {
+  /** Returns this schema with all keys but one made optional and without defaults. */
+  ObjectSchema partial(String requiredKey) {
     return of(
         keys.values().stream()
-            .map(key -> key.name().equals(needed) ? key : key.optional())
+            .map(key -> key.name().equals(requiredKey) ? key : key.optional())
             .toArray(Key[]::new));
   }
 
-  /** Finds the known key that needs the fewest edits to become the given one. */
-  Optional<String> nearest(String unknown) {
+  /**
+   * Returns the known key with the smallest edit distance to an unknown one; empty if none is
+   * close.
+   */
+  Optional<String> nearestKey(String unknown) {
     return keys.keySet().stream()
-        .min(Comparator.comparingInt(known -> edits(unknown, known)))
-        .filter(known -> edits(unknown, known) <= Math.min(MAXIMUM_EDITS, known.length() - 1));
+        .min(Comparator.comparingInt(known -> editDistance(unknown, known)))
+        .filter(
+            known ->
+                editDistance(unknown, known)
+                    <= Math.min(MAXIMUM_EDIT_DISTANCE, known.length() - 1));
   }
 
-  private static int edits(String from, String to) {
+  private static int editDistance(String from, String to) {
     int[] previous = IntStream.rangeClosed(0, to.length()).toArray();
     for (int i = 1; i <= from.length(); i++) {
       int[] current = new int[to.length() + 1];
--- a/settings/src/main/java/dev/ibishub/settings/SchemaReader.java
+++ b/settings/src/main/java/dev/ibishub/settings/SchemaReader.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.stream.IntStream;
 
-/** Checks a file against a schema and collects all that is wrong. Not thread-safe. */
+/** Reader that checks a text against a schema and collects all faults. Not thread-safe. */
 final class SchemaReader {
   private final String file;
   private final List<Fault> faults = new ArrayList<>();
@@ -17,13 +17,13 @@
   }
 
   /**
-   * Reads a text.
+   * Parses and checks a text.
    *
-   * @param file the name for faults
+   * @param file the name of the text in faults
    * @param text JSON with comments
-   * @param schema what may stand in it
-   * @param faults takes all that is wrong
-   * @return the checked root, or empty where anything was wrong
+   * @param schema the allowed keys
+   * @param faults receives all faults
+   * @return the validated root, or empty if there were faults
    */
   static Optional<Section> read(String file, String text, ObjectSchema schema, List<Fault> faults) {
     SchemaReader reader = new SchemaReader(file);
@@ -36,93 +36,95 @@
 
   private Optional<Section> section(String path, LocatedValue value, ObjectSchema schema) {
     if (!(value.value() instanceof Map)) {
-      wrongType(path, value, "a section in { }");
+      addTypeFault(path, value, "a section in { }");
       return Optional.empty();
     }
-    value.members().forEach((key, member) -> refuseUnknown(path, key, member, schema));
+    value.members().forEach((key, member) -> rejectUnknownKey(path, key, member, schema));
     Map<String, Object> values = new HashMap<>();
     schema.keys().values().forEach(key -> readKey(path, value, key, values));
     return Optional.of(new Section(file, path, value, values, value.members(), null));
   }
 
-  private void refuseUnknown(String path, String key, LocatedValue member, ObjectSchema schema) {
+  private void rejectUnknownKey(String path, String key, LocatedValue member, ObjectSchema schema) {
     if (!schema.keys().containsKey(key)) {
       faults.add(
           new Fault(
               file,
               member.line(),
               member.column(),
-              Paths.member(path, key),
+              ValuePaths.member(path, key),
               "unknown key \"" + key + "\"",
               "one of " + String.join(", ", schema.keys().keySet()),
-              schema.nearest(key)));
+              schema.nearestKey(key)));
     }
   }
 
   private void readKey(String path, LocatedValue parent, Key key, Map<String, Object> values) {
     LocatedValue given = parent.members().get(key.name());
-    String where = Paths.member(path, key.name());
+    String keyPath = ValuePaths.member(path, key.name());
     if (given == null) {
       if (key.required()) {
-        fault(where, parent, "the key \"" + key.name() + "\" is missing", words(key));
+        addFault(keyPath, parent, "the key \"" + key.name() + "\" is missing", expectedValue(key));
       } else if (key.defaultValue() != null) {
         values.put(key.name(), key.defaultValue());
       }
       return;
     }
-    value(where, given, key).ifPresent(value -> values.put(key.name(), value));
+    value(keyPath, given, key).ifPresent(value -> values.put(key.name(), value));
   }
 
   private Optional<Object> value(String path, LocatedValue given, Key key) {
     return switch (key.type()) {
       case TEXT -> text(path, given, key).map(Object.class::cast);
       case INTEGER, NUMBER -> number(path, given, key);
-      case BOOLEAN -> typed(path, given, key, Boolean.class).map(Object.class::cast);
+      case BOOLEAN -> castOrAddFault(path, given, key, Boolean.class).map(Object.class::cast);
       case TEXT_LIST, OBJECT_LIST -> list(path, given, key);
       case OBJECT -> section(path, given, key.members()).map(Object.class::cast);
     };
   }
 
   private Optional<String> text(String path, LocatedValue given, Key key) {
-    Optional<String> text = typed(path, given, key, String.class);
+    Optional<String> text = castOrAddFault(path, given, key, String.class);
     return text.filter(
         value -> {
-          boolean right =
-              !value.isEmpty() && value.length() <= key.maximum() && key.form().test().test(value);
-          if (!right) {
-            fault(path, given, "impossible value", words(key));
+          boolean isValid =
+              !value.isEmpty()
+                  && value.length() <= key.maximum()
+                  && key.format().test().test(value);
+          if (!isValid) {
+            addFault(path, given, "impossible value", expectedValue(key));
           }
-          return right;
+          return isValid;
         });
   }
 
   private Optional<Object> number(String path, LocatedValue given, Key key) {
     Class<?> type = key.type() == Key.Type.INTEGER ? Long.class : Number.class;
-    return typed(path, given, key, type)
+    return castOrAddFault(path, given, key, type)
         .filter(
             value -> {
               double number = ((Number) value).doubleValue();
-              boolean right = number >= key.minimum() && number <= key.maximum();
-              if (!right) {
-                fault(path, given, "impossible value " + value, words(key));
+              boolean isValid = number >= key.minimum() && number <= key.maximum();
+              if (!isValid) {
+                addFault(path, given, "impossible value " + value, expectedValue(key));
               }
-              return right;
+              return isValid;
             })
         .map(Object.class::cast);
   }
 
   private Optional<Object> list(String path, LocatedValue given, Key key) {
     if (!(given.value() instanceof List)) {
-      wrongType(path, given, words(key));
+      addTypeFault(path, given, expectedValue(key));
       return Optional.empty();
     }
     List<LocatedValue> elements = given.elements();
     if (elements.size() < key.minimum() || elements.size() > key.maximum()) {
-      fault(path, given, "impossible length " + elements.size(), words(key));
+      addFault(path, given, "impossible length " + elements.size(), expectedValue(key));
     }
     return Optional.of(
         IntStream.range(0, elements.size())
-            .mapToObj(index -> element(Paths.element(path, index), elements.get(index), key))
+            .mapToObj(index -> element(ValuePaths.element(path, index), elements.get(index), key))
             .flatMap(Optional::stream)
             .toList());
   }
@@ -133,24 +135,25 @@
         : section(path, given, key.members()).map(Object.class::cast);
   }
 
-  private <T> Optional<T> typed(String path, LocatedValue given, Key key, Class<T> type) {
+  private <T> Optional<T> castOrAddFault(String path, LocatedValue given, Key key, Class<T> type) {
     if (!type.isInstance(given.value())) {
-      wrongType(path, given, words(key));
+      addTypeFault(path, given, expectedValue(key));
       return Optional.empty();
     }
     return Optional.of(type.cast(given.value()));
   }
 
-  private void wrongType(String path, LocatedValue given, String expected) {
-    fault(path, given, "wrong type " + given.kind(), expected);
+  private void addTypeFault(String path, LocatedValue given, String expected) {
+    addFault(path, given, "wrong type " + given.typeName(), expected);
   }
 
-  private void fault(String path, LocatedValue place, String problem, String expected) {
+  private void addFault(String path, LocatedValue location, String problem, String expected) {
     faults.add(
-        new Fault(file, place.line(), place.column(), path, problem, expected, Optional.empty()));
+        new Fault(
+            file, location.line(), location.column(), path, problem, expected, Optional.empty()));
   }
 
-  private static String words(Key key) {
-    return (key.type().words() + " " + KeyLimits.words(key)).strip();
+  private static String expectedValue(Key key) {
+    return (key.type().description() + " " + KeyLimits.describe(key)).strip();
   }
 }
--- a/settings/src/main/java/dev/ibishub/settings/Section.java
+++ b/settings/src/main/java/dev/ibishub/settings/Section.java
@@ -6,29 +6,29 @@
 import java.util.stream.Collectors;
 
 /**
- * A checked object: typed values by key, with defaults filled in, and the places they came from.
+ * Validated JSON object: typed values by key, including defaults, and their locations in the file.
  *
- * @param file the file it was read from
- * @param path its path in the file
- * @param at its place in the file
- * @param values values by key; those of keys left out without a default are missing
- * @param places places of the values given in the file
- * @param under what holds for keys that have no value here, or null for nothing
+ * @param file the name of the file
+ * @param path the path of the object in the file
+ * @param location the location of the object in the file; null for a section of defaults
+ * @param values the values by key, without keys that have neither a value nor a default
+ * @param locations the locations of the values that the file sets, by key
+ * @param fallback the section that provides values for keys without one here, or null for none
  */
 record Section(
     String file,
     String path,
-    LocatedValue at,
+    LocatedValue location,
     Map<String, Object> values,
-    Map<String, LocatedValue> places,
-    Section under) {
+    Map<String, LocatedValue> locations,
+    Section fallback) {
 
-  /** Lays this section over another one. */
-  Section over(Section other) {
-    return new Section(file, path, at, values, places, other);
+  /** Returns this section with another one as its fallback. */
+  Section withFallback(Section other) {
+    return new Section(file, path, location, values, locations, other);
   }
 
-  /** Makes a section of a schema's defaults, to lay others over. */
+  /** Returns a section with the defaults of a schema, for use as a fallback. */
   static Section defaults(ObjectSchema schema) {
     Map<String, Object> values =
         schema.keys().values().stream()
@@ -79,40 +79,43 @@
     return (List<Section>) value(key);
   }
 
-  boolean gives(String key) {
-    return places.containsKey(key) || (under != null && under.gives(key));
+  /** Tells whether this section or its fallback sets the key in a file; defaults do not count. */
+  boolean isSet(String key) {
+    return locations.containsKey(key) || (fallback != null && fallback.isSet(key));
   }
 
-  /** Makes a fault about the value of a key, or about the whole object where it is not given. */
+  /** Creates a fault at the value of a key, or at the object if no file sets the key. */
   Fault fault(String key, String problem, String expected) {
-    if (belongsUnder(key)) {
-      return under.fault(key, problem, expected);
+    if (isSetInFallback(key)) {
+      return fallback.fault(key, problem, expected);
     }
-    return faultAt(places.getOrDefault(key, at), Paths.member(path, key), problem, expected);
+    return faultAt(
+        locations.getOrDefault(key, location), ValuePaths.member(path, key), problem, expected);
   }
 
-  /** Makes a fault about an element of a list of texts. */
+  /** Creates a fault at an element of a list of texts. */
   Fault fault(String key, int index, String problem, String expected) {
-    if (belongsUnder(key)) {
-      return under.fault(key, index, problem, expected);
+    if (isSetInFallback(key)) {
+      return fallback.fault(key, index, problem, expected);
     }
-    LocatedValue list = places.get(key);
-    LocatedValue element = list == null ? at : list.elements().get(index);
-    return faultAt(element, Paths.element(Paths.member(path, key), index), problem, expected);
+    LocatedValue list = locations.get(key);
+    LocatedValue element = list == null ? location : list.elements().get(index);
+    return faultAt(
+        element, ValuePaths.element(ValuePaths.member(path, key), index), problem, expected);
   }
 
-  private Fault faultAt(LocatedValue place, String where, String problem, String expected) {
+  private Fault faultAt(LocatedValue value, String valuePath, String problem, String expected) {
     return new Fault(
-        file, place.line(), place.column(), where, problem, expected, Optional.empty());
+        file, value.line(), value.column(), valuePath, problem, expected, Optional.empty());
   }
 
-  private boolean belongsUnder(String key) {
-    return !places.containsKey(key) && under != null && under.gives(key);
+  private boolean isSetInFallback(String key) {
+    return !locations.containsKey(key) && fallback != null && fallback.isSet(key);
   }
 
   private Object find(String key) {
     Object value = values.get(key);
-    return value != null || under == null ? value : under.find(key);
+    return value != null || fallback == null ? value : fallback.find(key);
   }
 
   private Object value(String key) {
--- a/settings/src/main/java/dev/ibishub/settings/SettingsFiles.java
+++ b/settings/src/main/java/dev/ibishub/settings/SettingsFiles.java
@@ -10,11 +10,11 @@
 import java.util.function.BiConsumer;
 import java.util.function.Function;
 
-/** Reading a settings file of one program. */
+/** Reader of settings files. */
 final class SettingsFiles {
   private SettingsFiles() {}
 
-  static String text(Path path) {
+  static String read(Path path) {
     try {
       return Files.readString(path);
     } catch (IOException e) {
@@ -23,23 +23,23 @@
   }
 
   /**
-   * Checks a text and makes settings of it.
+   * Parses and validates a text and converts it to settings.
    *
-   * @param check adds faults that show only when several keys are seen together
-   * @throws SettingsException with all that is wrong
+   * @param check adds faults that involve several keys; called only if each key is valid
+   * @throws SettingsException with all faults
    */
   static <T> T parse(
       String file,
       String text,
       ObjectSchema schema,
       BiConsumer<Section, List<Fault>> check,
-      Function<Section, T> make) {
+      Function<Section, T> convert) {
     List<Fault> faults = new ArrayList<>();
     Optional<Section> root = SchemaReader.read(file, text, schema, faults);
     root.ifPresent(section -> check.accept(section, faults));
     if (!faults.isEmpty()) {
       throw new SettingsException(faults);
     }
-    return make.apply(root.orElseThrow());
+    return convert.apply(root.orElseThrow());
   }
 }
--- a/settings/src/main/java/dev/ibishub/settings/SiteChecks.java
+++ b/settings/src/main/java/dev/ibishub/settings/SiteChecks.java
@@ -11,7 +11,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Checks of one site's merged configuration that need several sections at once. */
+/** Checks of one site's merged configuration that involve several sections. */
 final class SiteChecks {
   private final Consumer<Fault> faults;
 
@@ -19,8 +19,8 @@
     this.faults = faults;
   }
 
-  /** Refuses keys that two workspaces share, as a caller would then be of either. */
-  void keys(Collection<Section> workspaces) {
+  /** Reports keys that two workspaces share, because a caller's workspace would be ambiguous. */
+  void checkKeys(Collection<Section> workspaces) {
     Map<String, String> owners = new HashMap<>();
     for (Section workspace : workspaces) {
       List<String> keys = workspace.texts("keySha256");
@@ -36,46 +36,50 @@
     }
   }
 
-  /** Refuses groups for whom nothing weighs anything. */
-  void weights(Collection<Section> groups) {
+  /** Reports groups whose skew and cost weights are both 0. */
+  void checkWeights(Collection<Section> groups) {
     groups.stream()
         .filter(group -> group.number("skewWeight") == 0 && group.number("costWeight") == 0)
         .map(group -> group.fault("skewWeight", "both weights are 0", "one of them above 0"))
         .forEach(faults);
   }
 
-  /** Refuses a name that leads nowhere. */
-  void reference(Section section, String key, String kind, Set<String> known) {
+  /** Reports a reference to an unknown name. */
+  void checkReference(Section section, String key, String kind, Set<String> known) {
     section
         .optionalText(key)
         .filter(name -> !known.contains(name))
-        .ifPresent(name -> faults.accept(section.fault(key, dangling(kind, name), some(known))));
+        .ifPresent(
+            name ->
+                faults.accept(section.fault(key, unknownName(kind, name), expectedNames(known))));
   }
 
-  /** Refuses each name of a list that leads nowhere. */
-  void references(Section section, String key, String kind, Set<String> known) {
+  /** Reports each reference in a list to an unknown name. */
+  void checkReferences(Section section, String key, String kind, Set<String> known) {
     List<String> names = section.texts(key);
     IntStream.range(0, names.size())
         .filter(index -> !known.contains(names.get(index)))
         .forEach(
             index ->
                 faults.accept(
-                    section.fault(key, index, dangling(kind, names.get(index)), some(known))));
+                    section.fault(
+                        key, index, unknownName(kind, names.get(index)), expectedNames(known))));
   }
 
-  /** Checks what one target serves. */
-  void placement(Section placement, Map<String, Section> models, Set<String> services) {
-    references(placement, "models", "model", models.keySet());
-    references(placement, "versions", "version", of(placement, models, "versions"));
-    references(placement, "adapters", "adapter", of(placement, models, "adapters"));
-    reference(placement, "service", "service", services);
+  /** Checks the models, versions, adapters or service that one target serves. */
+  void checkPlacement(Section placement, Map<String, Section> models, Set<String> services) {
+    checkReferences(placement, "models", "model", models.keySet());
+    checkReferences(placement, "versions", "version", namesOfModels(placement, models, "versions"));
+    checkReferences(placement, "adapters", "adapter", namesOfModels(placement, models, "adapters"));
+    checkReference(placement, "service", "service", services);
     if (placement.optionalText("service").isPresent() && !placement.texts("models").isEmpty()) {
       faults.accept(
           placement.fault("service", "both models and a service", "one of the two for a target"));
     }
   }
 
-  private static Set<String> of(Section placement, Map<String, Section> models, String key) {
+  private static Set<String> namesOfModels(
+      Section placement, Map<String, Section> models, String key) {
     return placement.texts("models").stream()
         .filter(models::containsKey)
         .map(models::get)
@@ -84,11 +88,11 @@
         .collect(Collectors.toSet());
   }
 
-  private static String dangling(String kind, String name) {
+  private static String unknownName(String kind, String name) {
     return "no " + kind + " \"" + name + "\"";
   }
 
-  private static String some(Set<String> known) {
+  private static String expectedNames(Set<String> known) {
     String names = known.stream().sorted().limit(10).collect(Collectors.joining(", "));
     return known.isEmpty() ? "none, as there is none" : "one of " + names;
   }
--- a/settings/src/main/java/dev/ibishub/settings/SiteSections.java
+++ b/settings/src/main/java/dev/ibishub/settings/SiteSections.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 
-/** The sections of base and overlay merged for one site, by list and name. */
+/** Sections of the base and of one site's overlay, merged by list and name. */
 final class SiteSections {
   private final Section base;
   private final Optional<Section> overlay;
@@ -19,33 +19,37 @@
   }
 
   /**
-   * Merges one list: an overlay's element overrides the keys that it gives of the base's element of
-   * the same name, or else stands for itself.
+   * Merges one list: an overlay's element overrides the keys that it sets in the base's element of
+   * the same name, or is added if the base has no such element.
    *
    * @param list the key of the list
-   * @param nameKey the key that names an element
-   * @param schema the keys of an element
-   * @return the elements by name, in the order of the files
+   * @param nameKey the key that holds an element's name
+   * @param schema the schema of an element
+   * @return the elements by name, those of the base first, in the order of the texts
    */
   Map<String, Section> merged(String list, String nameKey, ObjectSchema schema) {
     Map<String, Section> merged = new LinkedHashMap<>();
-    unique(base.sections(list), nameKey).forEach((name, section) -> merged.put(name, section));
+    byUniqueName(base.sections(list), nameKey)
+        .forEach((name, section) -> merged.put(name, section));
     overlay
-        .map(over -> over.sections(list))
-        .map(sections -> unique(sections, nameKey))
+        .map(root -> root.sections(list))
+        .map(sections -> byUniqueName(sections, nameKey))
         .orElse(Map.of())
         .forEach(
             (name, section) ->
-                merged.put(name, over(section, Optional.ofNullable(merged.get(name)), schema)));
+                merged.put(
+                    name,
+                    withBaseOrDefaults(section, Optional.ofNullable(merged.get(name)), schema)));
     return merged;
   }
 
-  private Section over(Section section, Optional<Section> below, ObjectSchema schema) {
-    if (below.isPresent()) {
-      return section.over(below.get());
+  private Section withBaseOrDefaults(
+      Section section, Optional<Section> baseSection, ObjectSchema schema) {
+    if (baseSection.isPresent()) {
+      return section.withFallback(baseSection.get());
     }
     schema.keys().values().stream()
-        .filter(key -> key.required() && !section.gives(key.name()))
+        .filter(key -> key.required() && !section.isSet(key.name()))
         .map(
             key ->
                 section.fault(
@@ -53,10 +57,10 @@
                     "the key \"" + key.name() + "\" is missing",
                     "a value, as the base has no such element"))
         .forEach(faults);
-    return section.over(Section.defaults(schema));
+    return section.withFallback(Section.defaults(schema));
   }
 
-  private Map<String, Section> unique(List<Section> sections, String nameKey) {
+  private Map<String, Section> byUniqueName(List<Section> sections, String nameKey) {
     Map<String, Section> byName = new LinkedHashMap<>();
     sections.forEach(
         section -> {
--- a/settings/src/main/java/dev/ibishub/settings/Paths.java
+++ b/settings/src/main/java/dev/ibishub/settings/ValuePaths.java
@@ -1,8 +1,8 @@
 package dev.ibishub.settings;
 
-/** Paths of values in a file, as faults show them. */
-final class Paths {
-  private Paths() {}
+/** Paths of values in a file, as shown in faults. */
+final class ValuePaths {
+  private ValuePaths() {}
 
   static String member(String path, String key) {
     return path.isEmpty() ? key : path + "." + key;
--- a/settings/src/test/java/dev/ibishub/settings/ConfigurationPageTest.java
+++ b/settings/src/test/java/dev/ibishub/settings/ConfigurationPageTest.java
@@ -28,11 +28,11 @@
     return String.format(
         "| `%s` | %s | %s | %s | %s | %s |",
         name,
-        key.type().words(),
+        key.type().description(),
         key.unit(),
         key.required() ? "required" : defaultOf(key),
-        KeyLimits.words(key),
-        key.sentence());
+        KeyLimits.describe(key),
+        key.description());
   }
 
   private static String defaultOf(Key key) {
