--- a/settings/src/test/java/dev/ibishub/settings/BrokenFilesTest.java
+++ b/settings/src/test/java/dev/ibishub/settings/BrokenFilesTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Files that are broken, each in its own way; the comment in its first line is the fault. */
+/** Tests files that each have one fault; the comment in the first line is the expected report. */
 final class BrokenFilesTest {
   private static final Path FOLDER = Path.of("src", "test", "resources", "broken");
 
@@ -24,32 +24,32 @@
   }
 
   @Test
-  void thereAreTenKindsOrMore() throws IOException {
+  void coversAtLeastTenKindsOfFaults() throws IOException {
     assertThat(files()).hasSizeGreaterThanOrEqualTo(10);
   }
 
   @ParameterizedTest
   @MethodSource("files")
-  void faultIsNamedWithItsPlace(Path file) throws IOException {
+  void reportsFaultWithItsLocation(Path file) throws IOException {
     String text = Files.readString(file);
     String expected = text.lines().findFirst().orElseThrow().substring("// ".length());
 
-    SettingsException refused =
+    SettingsException exception =
         catchThrowableOfType(
             SettingsException.class,
             () ->
                 ConfigurationDocument.parse(
                     new ConfigurationDocument.Source("base.json", text), Map.of()));
 
-    assertThat(refused.faults())
+    assertThat(exception.faults())
         .singleElement()
         .asString()
         .startsWith("base.json:" + expected.stripTrailing());
   }
 
   @Test
-  void allFaultsOfAllFilesComeInOneAnswer() {
-    SettingsException refused =
+  void reportsAllFaultsOfAllFilesAtOnce() {
+    SettingsException exception =
         catchThrowableOfType(
             SettingsException.class,
             () ->
@@ -57,7 +57,7 @@
                     new ConfigurationDocument.Source("base.json", "{\"site\": [], \"models\": 1}"),
                     Map.of("s", new ConfigurationDocument.Source("s.json", "{\"groups\": true}"))));
 
-    assertThat(refused.faults())
+    assertThat(exception.faults())
         .extracting(Fault::path)
         .containsExactly("site", "models", "groups");
   }
--- a/settings/src/test/java/dev/ibishub/settings/ConfigurationDocumentTest.java
+++ b/settings/src/test/java/dev/ibishub/settings/ConfigurationDocumentTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void overlayOverridesOnlyTheKeysItGives() {
+  void overlayOverridesOnlyKeysThatItSets() {
     Configuration merged =
         parse(BASE, "{\"workspaces\": [{\"name\": \"kutaisi\", \"requestsPerSecond\": 5}]}")
             .merged(7, "tbilisi");
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void overlayHoldsOnlyAtItsOwnSite() {
+  void overlayAppliesOnlyToItsOwnSite() {
     ConfigurationDocument document = parse(BASE, "{\"servedWorkspaces\": [\"portal\"]}");
 
     assertThat(document.merged(1, "tbilisi").workspaces()).containsOnlyKeys("portal");
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void callsThatMayNotBeRepeatedAreKnownByMethodAndPath() {
+  void matchesUnrepeatableCallsByMethodAndPath() {
     Configuration.Service panel = parse(BASE, "{}").merged(1, "kolkata").services().get("panel");
 
     assertThat(panel.mayBeRepeated("POST", "/incentives/17")).isFalse();
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void danglingNamesOfAnOverlayAreAllNamedWithTheirPlace() {
+  void reportsAllUnknownNamesInOverlayWithTheirLocations() {
     List<String> faults =
         faults(
             BASE,
--- a/settings/src/test/java/dev/ibishub/settings/ProcessSettingsTest.java
+++ b/settings/src/test/java/dev/ibishub/settings/ProcessSettingsTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void entryTakesDefaultsForWhatIsLeftOut() {
+  void entryUsesDefaultsForMissingKeys() {
     EntrySettings settings = EntrySettings.parse("entry.json", ENTRY);
 
     assertThat(settings.operators()).extracting(OperatorSettings::name).containsExactly("nino");
@@ -46,12 +46,12 @@
   }
 
   @Test
-  void tokenOfAnOperatorStaysOutOfLogLines() {
+  void omitsOperatorTokenFromToString() {
     assertThat(EntrySettings.parse("entry.json", ENTRY).toString()).doesNotContain("token-of-nino");
   }
 
   @Test
-  void agentOfAModelIsRead() {
+  void readsSettingsOfModelAgent() {
     AgentSettings settings = AgentSettings.parse("agent.json", AGENT);
 
     assertThat(settings.kind()).isEqualTo(AgentSettings.Kind.MODEL);
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void agentOfAServiceNeedsItsNameAndUrl() {
+  void refusesServiceAgentWithoutNameAndUrl() {
     assertThat(agentFaults(AGENT.replace("\"model\"", "\"service\"")))
         .containsExactly(
             "agent.json:1:1: serviceUrl: the key \"serviceUrl\" is missing; expected a value, as"
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void groupNeedsRank() {
+  void refusesGroupWithoutRank() {
     assertThat(agentFaults(AGENT.replace("\"port\"", "\"group\": \"g\", \"port\"")))
         .singleElement()
         .asString()
