--- a/standins/src/main/java/dev/ibishub/standins/CallerSession.java
+++ b/standins/src/main/java/dev/ibishub/standins/CallerSession.java
@@ -23,7 +23,7 @@
           ResultCode.ANSWER_NO_LONGER_KEPT.number(), ResultCode.IDEMPOTENCY_KEY_EXPIRED.number());
 
   private final PlannedRequest request;
-  private final Caller caller;
+  private final EntryClient entryClient;
   private final AddressBook addresses;
   private final LoadOptions options;
   private final long giveUpAtNanos;
@@ -73,12 +73,12 @@
 
   CallerSession(
       PlannedRequest request,
-      Caller caller,
+      EntryClient entryClient,
       AddressBook addresses,
       LoadOptions options,
       long startNanos) {
     this.request = request;
-    this.caller = caller;
+    this.entryClient = entryClient;
     this.addresses = addresses;
     this.options = options;
     this.turn = request.number();
@@ -89,7 +89,7 @@
   /** Runs the request to its end. */
   Ending run() throws InterruptedException {
     while (left().toNanos() > 0 && attempts <= options.retries()) {
-      Caller.Result result = attempt(addresses.address(turn));
+      EntryClient.Result result = attempt(addresses.address(turn));
       Optional<Ending> ending = judge(result);
       if (ending.isPresent()) {
         return ending.get();
@@ -98,21 +98,21 @@
     return givenUp();
   }
 
-  private Caller.Result attempt(URI entry) throws InterruptedException {
+  private EntryClient.Result attempt(URI entry) throws InterruptedException {
     if (!request.streamed()) {
       attempts++;
-      return caller.send(request, entry, left());
+      return entryClient.send(request, entry, left());
     }
     StreamReader reader = new StreamReader(answer, chunkNanos::add);
     if (!stream.isEmpty()) {
       resumes++;
-      return caller.resume(request, entry, stream, left(), answer, reader);
+      return entryClient.resume(request, entry, stream, left(), answer, reader);
     }
     attempts++;
-    return caller.stream(request, entry, left(), answer, reader);
+    return entryClient.stream(request, entry, left(), answer, reader);
   }
 
-  private Optional<Ending> judge(Caller.Result result) throws InterruptedException {
+  private Optional<Ending> judge(EntryClient.Result result) throws InterruptedException {
     lastDetail = result.detail();
     return switch (result.kind()) {
       case ANSWERED -> answered(result);
@@ -139,7 +139,7 @@
     };
   }
 
-  private Optional<Ending> answered(Caller.Result result) throws InterruptedException {
+  private Optional<Ending> answered(EntryClient.Result result) throws InterruptedException {
     if (!request.streamed()) {
       boolean own = result.body().map(this::isOwnAnswer).orElse(false);
       return Optional.of(own ? ending(Outcome.DONE, DONE, "") : breach("wrong answer"));
@@ -161,7 +161,7 @@
             : breach("wrong: got " + answer.text() + " for " + request.expectedText()));
   }
 
-  private Optional<Ending> refused(Caller.Result result) throws InterruptedException {
+  private Optional<Ending> refused(EntryClient.Result result) throws InterruptedException {
     Problem problem = result.problem().orElseThrow();
     lastProblem = Optional.of(problem);
     // A refused join says nothing about the answer itself, which may have run in part.
--- a/standins/src/main/java/dev/ibishub/standins/Caller.java
+++ b/standins/src/main/java/dev/ibishub/standins/EntryClient.java
@@ -24,7 +24,7 @@
  * One attempt at a request, at one entry: sends it or joins its answer again, and tells what came.
  * Thread-safe.
  */
-final class Caller {
+final class EntryClient {
   private static final long POLL_MILLIS = 50;
   private static final Duration SHORTEST_TIMEOUT = Duration.ofMillis(1);
 
@@ -68,7 +68,7 @@
     }
   }
 
-  Caller(HttpClient client, LoadOptions options) {
+  EntryClient(HttpClient client, LoadOptions options) {
     this.client = client;
     this.options = options;
   }
--- a/standins/src/main/java/dev/ibishub/standins/LoadMain.java
+++ b/standins/src/main/java/dev/ibishub/standins/LoadMain.java
@@ -88,7 +88,7 @@
       LoadRecorder recorder)
       throws IOException, InterruptedException {
     AddressBook addresses = new AddressBook(client, options.entries());
-    Caller caller = new Caller(client, options);
+    EntryClient entryClient = new EntryClient(client, options);
     List<ModelEngine> engines =
         options.directEngines().stream()
             .<ModelEngine>map(engine -> HttpModelEngine.create(engine, client))
@@ -102,7 +102,7 @@
       if (inFlight.tryAcquire()) {
         Callable<CallerSession.Ending> session =
             engines.isEmpty()
-                ? new CallerSession(request, caller, addresses, options, startNanos)::run
+                ? new CallerSession(request, entryClient, addresses, options, startNanos)::run
                 : new DirectSession(
                         request, engines.get(request.number() % engines.size()), options)
                     ::run;
--- a/standins/src/test/java/dev/ibishub/standins/CallerSessionTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/CallerSessionTest.java
@@ -124,7 +124,7 @@
       CallerSession session =
           new CallerSession(
               request,
-              new Caller(client, options),
+              new EntryClient(client, options),
               new AddressBook(client, List.of(base)),
               options,
               System.nanoTime());
