--- a/standins/src/main/java/dev/ibishub/standins/CallerSession.java
+++ b/standins/src/main/java/dev/ibishub/standins/CallerSession.java
@@ -24,7 +24,7 @@
 
   private final PlannedRequest request;
   private final EntryClient entryClient;
-  private final AddressBook addresses;
+  private final EntryAddresses addresses;
   private final LoadOptions options;
   private final long giveUpAtNanos;
   private final List<Long> chunkNanos = new ArrayList<>();
@@ -74,7 +74,7 @@
   CallerSession(
       PlannedRequest request,
       EntryClient entryClient,
-      AddressBook addresses,
+      EntryAddresses addresses,
       LoadOptions options,
       long startNanos) {
     this.request = request;
@@ -120,13 +120,13 @@
       case LEFT -> Optional.of(ending(Outcome.LEFT, ResultCode.CANCELLED.number(), ""));
       case UNREACHABLE -> {
         attempts = Math.max(0, attempts - 1);
-        addresses.suspect();
+        addresses.invalidate();
         goElsewhere(PAUSE_MILLIS);
         yield Optional.empty();
       }
       case BROKEN -> {
         mayHaveRun = true;
-        addresses.suspect();
+        addresses.invalidate();
         if (!result.stream().isEmpty()) {
           stream = result.stream();
         }
--- a/standins/src/main/java/dev/ibishub/standins/AddressBook.java
+++ b/standins/src/main/java/dev/ibishub/standins/EntryAddresses.java
@@ -16,7 +16,7 @@
  * The entry addresses that a caller uses: asked of any entry, kept until they run out. Thread-safe
  * under its own lock.
  */
-final class AddressBook {
+final class EntryAddresses {
   private static final Duration TIMEOUT = Duration.ofSeconds(2);
   private static final Duration RETRY_PAUSE = Duration.ofMillis(200);
 
@@ -33,7 +33,7 @@
   /** An entry's answer. */
   record Answer(List<Address> addresses) {}
 
-  AddressBook(HttpClient client, List<URI> seeds) {
+  EntryAddresses(HttpClient client, List<URI> seeds) {
     this.client = client;
     this.seeds = seeds;
   }
@@ -55,7 +55,7 @@
   }
 
   /** Makes the next caller ask again, as an address has failed. */
-  void suspect() {
+  void invalidate() {
     synchronized (lock) {
       validUntil = Instant.MIN;
     }
--- a/standins/src/main/java/dev/ibishub/standins/LoadMain.java
+++ b/standins/src/main/java/dev/ibishub/standins/LoadMain.java
@@ -87,7 +87,7 @@
       long startNanos,
       LoadRecorder recorder)
       throws IOException, InterruptedException {
-    AddressBook addresses = new AddressBook(client, options.entries());
+    EntryAddresses addresses = new EntryAddresses(client, options.entries());
     EntryClient entryClient = new EntryClient(client, options);
     List<ModelEngine> engines =
         options.directEngines().stream()
--- a/standins/src/test/java/dev/ibishub/standins/CallerSessionTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/CallerSessionTest.java
@@ -125,7 +125,7 @@
           new CallerSession(
               request,
               new EntryClient(client, options),
-              new AddressBook(client, List.of(base)),
+              new EntryAddresses(client, List.of(base)),
               options,
               System.nanoTime());
       return session.run();
