--- a/standins/src/main/java/dev/ibishub/standins/EngineGroup.java
+++ b/standins/src/main/java/dev/ibishub/standins/EngineGroup.java
@@ -32,7 +32,7 @@
   private final Object lock = new Object();
   private final EngineOptions options;
   private final List<EngineRank> ranks;
-  private final List<FaultSwitch> faults;
+  private final List<FaultInjector> faults;
   private final ExpertPopularity popularity;
   private final Thread stepper;
   private final List<MixedStep> mixedSteps = new ArrayList<>();
@@ -54,7 +54,7 @@
       double heldMillis,
       double longestStallMillis) {}
 
-  private EngineGroup(EngineOptions options, List<FaultSwitch> faults) {
+  private EngineGroup(EngineOptions options, List<FaultInjector> faults) {
     this.options = options;
     this.faults = List.copyOf(faults);
     byte[] firstMap =
@@ -70,7 +70,7 @@
   }
 
   /** Starts the group's steps; one fault switch for each rank. */
-  static EngineGroup start(EngineOptions options, List<FaultSwitch> faults) {
+  static EngineGroup start(EngineOptions options, List<FaultInjector> faults) {
     EngineGroup group = new EngineGroup(options, faults);
     group.stepper.setDaemon(true);
     group.stepper.start();
--- a/standins/src/main/java/dev/ibishub/standins/EngineStandIn.java
+++ b/standins/src/main/java/dev/ibishub/standins/EngineStandIn.java
@@ -19,12 +19,12 @@
   private final EngineGroup group;
   private final int rank;
   private final EngineOptions options;
-  private final FaultSwitch faults;
+  private final FaultInjector faults;
 
   /** What {@code GET /control/streams} tells: each stream id that ever started here. */
   record StreamAudit(int count, Set<String> started) {}
 
-  EngineStandIn(EngineGroup group, int rank, EngineOptions options, FaultSwitch faults) {
+  EngineStandIn(EngineGroup group, int rank, EngineOptions options, FaultInjector faults) {
     this.group = group;
     this.rank = rank;
     this.options = options;
@@ -89,7 +89,7 @@
 
   private void write(GeneratedStream stream, long from, OutputStream out)
       throws IOException, InterruptedException {
-    OptionalInt cutAfter = faults.takeCutStream();
+    OptionalInt cutAfter = faults.consumeStreamCut();
     try {
       long number = from;
       Optional<String> piece = stream.awaitPiece(number);
--- a/standins/src/main/java/dev/ibishub/standins/FaultSwitch.java
+++ b/standins/src/main/java/dev/ibishub/standins/FaultInjector.java
@@ -3,7 +3,7 @@
 import java.util.OptionalInt;
 
 /** The faults in force at one stand-in. Thread-safe under its own lock. */
-final class FaultSwitch {
+final class FaultInjector {
   private final Object lock = new Object();
   private Faults faults = Faults.none();
 
@@ -21,7 +21,7 @@
   }
 
   /** Waits while frozen. */
-  void awaitThaw() throws InterruptedException {
+  void awaitUnfrozen() throws InterruptedException {
     synchronized (lock) {
       while (faults.freeze()) {
         lock.wait();
@@ -30,7 +30,7 @@
   }
 
   /** Uses up one answer to lose; false when none is left. */
-  boolean takeLostAnswer() {
+  boolean consumeLostAnswer() {
     synchronized (lock) {
       if (faults.loseNextAnswers() <= 0) {
         return false;
@@ -41,7 +41,7 @@
   }
 
   /** Uses up one stream to cut and tells after how many pieces; empty when none is left. */
-  OptionalInt takeCutStream() {
+  OptionalInt consumeStreamCut() {
     synchronized (lock) {
       if (faults.cutNextStreams() <= 0) {
         return OptionalInt.empty();
--- a/standins/src/main/java/dev/ibishub/standins/StandInMain.java
+++ b/standins/src/main/java/dev/ibishub/standins/StandInMain.java
@@ -54,7 +54,7 @@
     if (kind.equals("engine")) {
       return startEngine(options);
     }
-    StandInServer server = listen(options, 0, new FaultSwitch(), handlerOf(kind, options));
+    StandInServer server = listen(options, 0, new FaultInjector(), handlerOf(kind, options));
     return new RunningStandIn(List.of(server), () -> {});
   }
 
@@ -85,12 +85,12 @@
 
   private static RunningStandIn startEngine(OptionSet options) throws IOException {
     EngineOptions engine = StandInOptions.engine(options);
-    List<FaultSwitch> faults =
-        IntStream.range(0, engine.ranks()).mapToObj(rank -> new FaultSwitch()).toList();
+    List<FaultInjector> faults =
+        IntStream.range(0, engine.ranks()).mapToObj(rank -> new FaultInjector()).toList();
     EngineGroup group = EngineGroup.start(engine, faults);
     List<StandInServer> servers = new ArrayList<>();
     for (int rank = 0; rank < engine.ranks(); rank++) {
-      FaultSwitch rankFaults = faults.get(rank);
+      FaultInjector rankFaults = faults.get(rank);
       EngineStandIn face = new EngineStandIn(group, rank, engine, rankFaults);
       servers.add(listen(options, rank, rankFaults, face::handle));
     }
@@ -99,7 +99,7 @@
 
   // Ranks listen on consecutive ports, or each on any free one.
   private static StandInServer listen(
-      OptionSet options, int rank, FaultSwitch faults, StandInServer.Handler handler)
+      OptionSet options, int rank, FaultInjector faults, StandInServer.Handler handler)
       throws IOException {
     int port = (int) StandInOptions.number(options, "port");
     String host = (String) options.valueOf("host");
--- a/standins/src/main/java/dev/ibishub/standins/StandInServer.java
+++ b/standins/src/main/java/dev/ibishub/standins/StandInServer.java
@@ -30,7 +30,7 @@
 
   private final HttpServer server;
   private final ExecutorService executor;
-  private final FaultSwitch faults;
+  private final FaultInjector faults;
   private final Handler handler;
 
   /** Answers requests. */
@@ -40,7 +40,7 @@
   }
 
   private StandInServer(
-      HttpServer server, ExecutorService executor, FaultSwitch faults, Handler handler) {
+      HttpServer server, ExecutorService executor, FaultInjector faults, Handler handler) {
     this.server = server;
     this.executor = executor;
     this.faults = faults;
@@ -52,7 +52,7 @@
    *
    * @param port the port, 0 for any free one
    */
-  static StandInServer start(String host, int port, FaultSwitch faults, Handler handler)
+  static StandInServer start(String host, int port, FaultInjector faults, Handler handler)
       throws IOException {
     HttpServer server = HttpServer.create(new InetSocketAddress(host, port), BACKLOG);
     ExecutorService executor = Executors.newCachedThreadPool();
@@ -89,7 +89,7 @@
         return;
       }
       StandInReply reply = replyUnderFaults(request);
-      if (!request.method().equals("GET") && faults.takeLostAnswer()) {
+      if (!request.method().equals("GET") && faults.consumeLostAnswer()) {
         throw new IOException("answer lost by an injected fault");
       }
       answer(exchange, reply);
@@ -101,7 +101,7 @@
 
   private StandInReply replyUnderFaults(StandInRequest request)
       throws IOException, InterruptedException {
-    faults.awaitThaw();
+    faults.awaitUnfrozen();
     Thread.sleep(faults.current().slowMillis());
     if (faults.current().outage()) {
       return StandInReply.refusal(
--- a/standins/src/test/java/dev/ibishub/standins/CallerSessionTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/CallerSessionTest.java
@@ -116,7 +116,7 @@
 
   private CallerSession.Ending run(StandInServer.Handler entry) throws Exception {
     try (StandInServer server =
-        StandInServer.start("127.0.0.1", 0, new FaultSwitch(), withoutAddresses(entry))) {
+        StandInServer.start("127.0.0.1", 0, new FaultInjector(), withoutAddresses(entry))) {
       URI base = URI.create("http://127.0.0.1:" + server.address().getPort());
       LoadOptions options = options(base);
       HttpClient client = OutboundHttp.newClient(executor);
