--- a/standins/src/main/java/dev/ibishub/standins/CallerSession.java
+++ b/standins/src/main/java/dev/ibishub/standins/CallerSession.java
@@ -83,7 +83,7 @@
     this.options = options;
     this.turn = request.number();
     this.giveUpAtNanos =
-        startNanos + request.intendedNanos() + TimeUnit.SECONDS.toNanos(options.patienceSeconds());
+        startNanos + request.intendedNanos() + TimeUnit.SECONDS.toNanos(options.timeoutSeconds());
   }
 
   /** Runs the request to its end. */
--- a/standins/src/main/java/dev/ibishub/standins/DirectSession.java
+++ b/standins/src/main/java/dev/ibishub/standins/DirectSession.java
@@ -55,7 +55,7 @@
         OutboundJson.write(request.body().orElseThrow()),
         0,
         0,
-        Instant.now().plusSeconds(options.patienceSeconds()));
+        Instant.now().plusSeconds(options.timeoutSeconds()));
   }
 
   private void take(long number, String piece) {
--- a/standins/src/main/java/dev/ibishub/standins/ExecutionAudit.java
+++ b/standins/src/main/java/dev/ibishub/standins/ExecutionAudit.java
@@ -45,16 +45,16 @@
     ExecutionAudit audit = new ExecutionAudit(client);
     List<String> breaches = new ArrayList<>();
     try {
-      for (URI service : options.serviceAudits()) {
+      for (URI service : options.serviceAuditUrls()) {
         audit.readService(service);
       }
-      for (URI engine : options.engineAudits()) {
+      for (URI engine : options.engineAuditUrls()) {
         audit.readEngine(engine);
       }
     } catch (IOException e) {
       breaches.add("AUDIT unreadable: " + e);
     }
-    if (!options.serviceAudits().isEmpty()) {
+    if (!options.serviceAuditUrls().isEmpty()) {
       breaches.addAll(audit.keyBreaches(endings));
     }
     breaches.addAll(audit.notRunBreaches(endings));
--- a/standins/src/main/java/dev/ibishub/standins/LoadMain.java
+++ b/standins/src/main/java/dev/ibishub/standins/LoadMain.java
@@ -94,7 +94,7 @@
             .<ModelEngine>map(engine -> HttpModelEngine.create(engine, client))
             .toList();
     LoadPlan plan = LoadPlan.create(options);
-    Semaphore inFlight = new Semaphore(options.mostAtOnce());
+    Semaphore inFlight = new Semaphore(options.maximumInFlight());
     Optional<PlannedRequest> next = plan.next();
     while (next.isPresent()) {
       PlannedRequest request = next.get();
@@ -113,7 +113,7 @@
       next = plan.next();
     }
     // Every session ends by itself within its patience.
-    inFlight.acquire(options.mostAtOnce());
+    inFlight.acquire(options.maximumInFlight());
   }
 
   private static void runSession(
--- a/standins/src/main/java/dev/ibishub/standins/LoadOptions.java
+++ b/standins/src/main/java/dev/ibishub/standins/LoadOptions.java
@@ -47,19 +47,19 @@
     List<Share> models,
     Range promptWords,
     Range answerTokens,
-    double wholeShare,
+    double unstreamedShare,
     double chatShare,
     String service,
     double serviceShare,
-    double onceShare,
+    double atMostOnceShare,
     Optional<Path> requestFile,
     int retries,
-    long patienceSeconds,
+    long timeoutSeconds,
     long idleSeconds,
     boolean acceptsRestart,
-    int mostAtOnce,
-    List<URI> serviceAudits,
-    List<URI> engineAudits,
+    int maximumInFlight,
+    List<URI> serviceAuditUrls,
+    List<URI> engineAuditUrls,
     List<URI> directEngines,
     double abandonShare,
     Optional<Path> reportFile) {
@@ -98,8 +98,8 @@
     entries = List.copyOf(entries);
     workspaces = List.copyOf(workspaces);
     models = List.copyOf(models);
-    serviceAudits = List.copyOf(serviceAudits);
-    engineAudits = List.copyOf(engineAudits);
+    serviceAuditUrls = List.copyOf(serviceAuditUrls);
+    engineAuditUrls = List.copyOf(engineAuditUrls);
     directEngines = List.copyOf(directEngines);
     if (rate <= 0 || durationSeconds < 1 || entries.isEmpty() || workspaces.isEmpty()) {
       throw new IllegalArgumentException("rate, duration, entries and workspaces are needed");
@@ -118,19 +118,19 @@
         models,
         promptWords,
         answerTokens,
-        wholeShare,
+        unstreamedShare,
         chatShare,
         service,
         serviceShare,
-        onceShare,
+        atMostOnceShare,
         requestFile,
         retries,
-        patienceSeconds,
+        timeoutSeconds,
         idleSeconds,
         acceptsRestart,
-        mostAtOnce,
-        serviceAudits,
-        engineAudits,
+        maximumInFlight,
+        serviceAuditUrls,
+        engineAuditUrls,
         engines,
         abandonShare,
         reportFile);
--- a/standins/src/main/java/dev/ibishub/standins/LoadPlan.java
+++ b/standins/src/main/java/dev/ibishub/standins/LoadPlan.java
@@ -116,7 +116,7 @@
     ObjectNode body = JsonNodeFactory.instance.objectNode();
     body.put("model", pick(options.models(), LoadOptions.Share::share).name());
     body.put("max_tokens", pick(options.answerTokens()));
-    body.put("stream", random.nextDouble() >= options.wholeShare());
+    body.put("stream", random.nextDouble() >= options.unstreamedShare());
     if (chat) {
       ObjectNode message = body.putArray("messages").addObject();
       message.put("role", "user");
@@ -130,7 +130,7 @@
 
   private PlannedRequest serviceCall(int number, LoadOptions.Workspace workspace) {
     String base = "/services/" + options.service();
-    if (random.nextDouble() >= options.onceShare()) {
+    if (random.nextDouble() >= options.atMostOnceShare()) {
       return planned(number, workspace, "GET", base + "/lookups/" + number, null, false);
     }
     ObjectNode body = JsonNodeFactory.instance.objectNode();
