--- a/standins/src/main/java/dev/ibishub/standins/EntryClient.java
+++ b/standins/src/main/java/dev/ibishub/standins/EntryClient.java
@@ -187,8 +187,8 @@
   }
 
   private static boolean leaves(PlannedRequest planned, StreamedAnswer answer) {
-    return planned.leaveAfter().isPresent()
-        && answer.nextChunk() >= planned.leaveAfter().getAsInt();
+    return planned.abandonAfterChunks().isPresent()
+        && answer.nextChunk() >= planned.abandonAfterChunks().getAsInt();
   }
 
   private static Result whole(HttpResponse<byte[]> response) {
--- a/standins/src/main/java/dev/ibishub/standins/LoadPlan.java
+++ b/standins/src/main/java/dev/ibishub/standins/LoadPlan.java
@@ -155,11 +155,11 @@
         method,
         path,
         Optional.ofNullable(body),
-        leaveAfter(),
+        abandonAfterChunks(),
         key);
   }
 
-  private OptionalInt leaveAfter() {
+  private OptionalInt abandonAfterChunks() {
     return options.abandonShare() > 0 && random.nextDouble() < options.abandonShare()
         ? OptionalInt.of(1 + random.nextInt(options.answerTokens().highest()))
         : OptionalInt.empty();
--- a/standins/src/main/java/dev/ibishub/standins/PlannedRequest.java
+++ b/standins/src/main/java/dev/ibishub/standins/PlannedRequest.java
@@ -23,7 +23,7 @@
     String method,
     String path,
     Optional<JsonNode> body,
-    OptionalInt leaveAfter,
+    OptionalInt abandonAfterChunks,
     Optional<String> idempotencyKey) {
   boolean forModel() {
     return path.startsWith("/v1/");
