--- a/standins/src/main/java/dev/ibishub/standins/CallerSession.java
+++ b/standins/src/main/java/dev/ibishub/standins/CallerSession.java
@@ -180,7 +180,7 @@
     boolean brokenOnTheWay = !result.stream().isEmpty() && !joining && !problem.notRun();
     if (brokenOnTheWay) {
       stream = result.stream();
-      answer.forgetProblem();
+      answer.clearProblem();
     } else {
       startAnew();
     }
--- a/standins/src/main/java/dev/ibishub/standins/EngineGroup.java
+++ b/standins/src/main/java/dev/ibishub/standins/EngineGroup.java
@@ -152,8 +152,8 @@
     }
   }
 
-  Set<String> everStarted(int rank) {
-    return with(rank, engine -> new TreeSet<>(engine.everStarted()));
+  Set<String> startedStreamIds(int rank) {
+    return with(rank, engine -> new TreeSet<>(engine.startedStreamIds()));
   }
 
   Audit audit() {
@@ -223,7 +223,7 @@
   }
 
   private boolean allReady(long next) {
-    return ranks.stream().allMatch(engine -> engine.map().ready(next))
+    return ranks.stream().allMatch(engine -> engine.map().canBegin(next))
         && faults.stream().noneMatch(rankFaults -> rankFaults.current().freeze());
   }
 
--- a/standins/src/main/java/dev/ibishub/standins/EngineRank.java
+++ b/standins/src/main/java/dev/ibishub/standins/EngineRank.java
@@ -40,7 +40,7 @@
               .thenComparingLong(Waiting::arrival));
   private final List<GeneratedStream> running = new ArrayList<>();
   private final Map<String, GeneratedStream> streams = new LinkedHashMap<>();
-  private final Set<String> everStarted = new HashSet<>();
+  private final Set<String> startedStreamIds = new HashSet<>();
   private final Deque<StepTokens> recentTokens = new ArrayDeque<>();
   private final Deque<EngineLoad> loads = new ArrayDeque<>();
   private final Set<String> served;
@@ -74,13 +74,13 @@
     return running.isEmpty() && waiting.isEmpty();
   }
 
-  Set<String> everStarted() {
-    return everStarted;
+  Set<String> startedStreamIds() {
+    return startedStreamIds;
   }
 
   GeneratedStream start(GenerationCall call) {
     requireServed(call);
-    if (!everStarted.add(call.streamId())) {
+    if (!startedStreamIds.add(call.streamId())) {
       throw new ResultException(ResultCode.ALREADY_RUNNING, "stream id was used before");
     }
     GeneratedStream stream = streamOf(call);
@@ -184,7 +184,7 @@
     lastOrderId = "";
     served.clear();
     served.addAll(options.served());
-    map.forget();
+    map.reset();
   }
 
   private EngineLoad secondLoad() {
--- a/standins/src/main/java/dev/ibishub/standins/EngineStandIn.java
+++ b/standins/src/main/java/dev/ibishub/standins/EngineStandIn.java
@@ -55,7 +55,7 @@
   private StandInReply control(StandInRequest request) {
     return switch (request.method() + " " + request.path()) {
       case "GET /control/streams" -> {
-        Set<String> started = group.everStarted(rank);
+        Set<String> started = group.startedStreamIds(rank);
         yield StandInReply.json(new StreamAudit(started.size(), started));
       }
       case "GET /control/group" -> StandInReply.json(group.audit());
--- a/standins/src/main/java/dev/ibishub/standins/RankMap.java
+++ b/standins/src/main/java/dev/ibishub/standins/RankMap.java
@@ -52,7 +52,7 @@
   }
 
   /** Whether this rank may begin a step. */
-  boolean ready(long step) {
+  boolean canBegin(long step) {
     return !lostMemory && (holdStep == 0 || step < holdStep);
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** Forgets all, as a rank that died and came back. It waits for a committed map. */
-  void forget() {
+  void reset() {
     lostMemory = true;
     highestFencingToken = 0;
     version = 0;
--- a/standins/src/main/java/dev/ibishub/standins/StreamedAnswer.java
+++ b/standins/src/main/java/dev/ibishub/standins/StreamedAnswer.java
@@ -68,7 +68,7 @@
     problem = failure;
   }
 
-  synchronized void forgetProblem() {
+  synchronized void clearProblem() {
     problem = null;
   }
 
