--- a/standins/src/test/java/dev/ibishub/standins/AppendOnlyLogTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/AppendOnlyLogTest.java
@@ -87,7 +87,7 @@
   @Test
   void nobodyListeningIsUnavailable() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("log")) {
-      AppendOnlyLog log = HttpAppendOnlyLog.create(StandInFixture.nobody(), fixture.client());
+      AppendOnlyLog log = HttpAppendOnlyLog.create(StandInFixture.unusedAddress(), fixture.client());
       assertThat(codeOf(log.append(STREAM, bytes("a")))).isEqualTo(ResultCode.LOG_UNAVAILABLE);
     }
   }
--- a/standins/src/test/java/dev/ibishub/standins/ModelEngineTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/ModelEngineTest.java
@@ -79,7 +79,7 @@
   @Test
   void nobodyListeningSurelyDidNotTakeTheCall() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("engine", QUICK)) {
-      ModelEngine engine = HttpModelEngine.create(StandInFixture.nobody(), fixture.client());
+      ModelEngine engine = HttpModelEngine.create(StandInFixture.unusedAddress(), fixture.client());
       assertThat(codeOf(engine.generate(call("a", "ibis", 2, 0), this::take)))
           .isEqualTo(ResultCode.TARGET_UNREACHABLE);
     }
--- a/standins/src/test/java/dev/ibishub/standins/SmallStandInsTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/SmallStandInsTest.java
@@ -56,7 +56,7 @@
   @Test
   void aServiceThatDoesNotListenWasNotReached() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("service")) {
-      PlainService service = HttpPlainService.create(StandInFixture.nobody(), fixture.client());
+      PlainService service = HttpPlainService.create(StandInFixture.unusedAddress(), fixture.client());
       assertThat(codeOf(service.call(request("POST")))).isEqualTo(ResultCode.TARGET_UNREACHABLE);
     }
   }
--- a/standins/src/test/java/dev/ibishub/standins/StandInFixture.java
+++ b/standins/src/test/java/dev/ibishub/standins/StandInFixture.java
@@ -47,7 +47,7 @@
   }
 
   /** An address at which nothing listens. */
-  static URI nobody() throws IOException {
+  static URI unusedAddress() throws IOException {
     try (ServerSocket socket = new ServerSocket(0)) {
       return URI.create("http://127.0.0.1:" + socket.getLocalPort());
     }
