--- a/standins/src/main/java/dev/ibishub/standins/EntryClient.java
+++ b/standins/src/main/java/dev/ibishub/standins/EntryClient.java
@@ -21,8 +21,8 @@
 import java.util.concurrent.TimeoutException;
 
 /**
- * One attempt at a request, at one entry: sends it or joins its answer again, and tells what came.
- * Thread-safe.
+ * HTTP client of the entries: makes single attempts at a request, or resumes a streamed answer, and
+ * reports the result. Thread-safe.
  */
 final class EntryClient {
   private static final long POLL_MILLIS = 50;
@@ -33,27 +33,27 @@
 
   /** How an attempt ended. */
   enum Kind {
-    /** With an answer, whole as far as the connection tells. */
+    /** An answer came, complete as far as the connection shows. */
     ANSWERED,
-    /** With a problem. */
+    /** The entry answered with a problem. */
     REFUSED,
-    /** No connection: the request surely was not sent. */
+    /** No connection could be made, so the request was certainly not sent. */
     UNREACHABLE,
-    /** The connection broke, or fell silent. */
+    /** The connection broke, or no data came within the idle time or the timeout. */
     BROKEN,
-    /** The caller itself left on the way. */
+    /** The caller abandoned the answer, as planned. */
     LEFT
   }
 
   /**
-   * What an attempt gave.
+   * The result of an attempt.
    *
-   * @param problem what the entry said, for {@code REFUSED}
-   * @param retryAfterMillis how long the entry asks to wait, milliseconds, 0 for unsaid
-   * @param requestId the entry's name for the request, or empty
-   * @param stream the name to join the answer again by, or empty
-   * @param body the whole answer's JSON, for what is not streamed
-   * @param detail for people
+   * @param problem the problem that the entry reported, for {@code REFUSED}
+   * @param retryAfterMillis the wait that the entry asks for, in milliseconds, 0 for none given
+   * @param requestId the entry's id of the request, or empty
+   * @param stream the id with which the answer can be resumed, or empty
+   * @param body the JSON of an answer that is not streamed
+   * @param detail explanation for people
    */
   record Result(
       Kind kind,
@@ -63,7 +63,7 @@
       String stream,
       Optional<JsonNode> body,
       String detail) {
-    static Result broken(Kind kind, String requestId, String stream, String detail) {
+    static Result withoutAnswer(Kind kind, String requestId, String stream, String detail) {
       return new Result(kind, Optional.empty(), 0, requestId, stream, Optional.empty(), detail);
     }
   }
@@ -73,57 +73,58 @@
     this.options = options;
   }
 
-  /** Sends a request that is answered whole. */
-  Result send(PlannedRequest request, URI entry, Duration patience) throws InterruptedException {
-    HttpRequest sent = builder(request, entry, patience).build();
+  /** Sends a request whose answer is not streamed. */
+  Result send(PlannedRequest request, URI entry, Duration timeout) throws InterruptedException {
+    HttpRequest httpRequest = builder(request, entry, timeout).build();
     CompletableFuture<HttpResponse<byte[]>> answer =
-        client.sendAsync(sent, BodyHandlers.ofByteArray());
+        client.sendAsync(httpRequest, BodyHandlers.ofByteArray());
     try {
-      return whole(answer.get(patience.toMillis(), TimeUnit.MILLISECONDS));
+      return resultOf(answer.get(timeout.toMillis(), TimeUnit.MILLISECONDS));
     } catch (ExecutionException e) {
-      return failed(e.getCause(), "", "");
+      return failure(e.getCause(), "", "");
     } catch (TimeoutException e) {
       answer.cancel(true);
-      return Result.broken(Kind.BROKEN, "", "", "no answer in time");
+      return Result.withoutAnswer(Kind.BROKEN, "", "", "no answer in time");
     }
   }
 
-  /** Sends a request whose answer is streamed into the given one. */
+  /** Sends a request whose streamed answer is added to {@code answer}. */
   Result stream(
       PlannedRequest request,
       URI entry,
-      Duration patience,
+      Duration timeout,
       StreamedAnswer answer,
       StreamReader reader)
       throws InterruptedException {
-    HttpRequest sent = builder(request, entry, patience).build();
-    return read(request, sent, patience, answer, reader);
+    HttpRequest httpRequest = builder(request, entry, timeout).build();
+    return read(request, httpRequest, timeout, answer, reader);
   }
 
-  /** Joins a streamed answer again, from the chunk that is due. */
+  /** Resumes a streamed answer at the next chunk that {@code answer} lacks. */
   Result resume(
       PlannedRequest request,
       URI entry,
       String stream,
-      Duration patience,
+      Duration timeout,
       StreamedAnswer answer,
       StreamReader reader)
       throws InterruptedException {
     URI uri = URI.create(entry + "/v1/streams/" + stream + "?from=" + answer.nextChunk());
-    HttpRequest.Builder join = HttpRequest.newBuilder(uri).timeout(positive(patience)).GET();
-    addHeaders(join, request);
-    return read(request, join.build(), patience, answer, reader);
+    HttpRequest.Builder resumption =
+        HttpRequest.newBuilder(uri).timeout(atLeastShortest(timeout)).GET();
+    addHeaders(resumption, request);
+    return read(request, resumption.build(), timeout, answer, reader);
   }
 
   private Result read(
       PlannedRequest planned,
       HttpRequest request,
-      Duration patience,
+      Duration timeout,
       StreamedAnswer answer,
       StreamReader reader)
       throws InterruptedException {
     CompletableFuture<HttpResponse.ResponseInfo> head = new CompletableFuture<>();
-    CompletableFuture<HttpResponse<byte[]>> whole =
+    CompletableFuture<HttpResponse<byte[]>> responseFuture =
         client.sendAsync(
             request,
             info -> {
@@ -134,9 +135,10 @@
                   : BodySubscribers.ofByteArray();
             });
     try {
-      HttpResponse<byte[]> response = await(planned, whole, head, patience, answer, reader);
+      HttpResponse<byte[]> response =
+          awaitResponse(planned, responseFuture, head, timeout, answer, reader);
       if (response.statusCode() != 200) {
-        return whole(response);
+        return resultOf(response);
       }
       String requestId = header(response.headers(), "Ibishub-Request-Id");
       String stream = header(response.headers(), "Ibishub-Stream");
@@ -148,50 +150,51 @@
         return new Result(
             Kind.REFUSED, answer.problem(), 0, requestId, stream, Optional.empty(), "");
       }
-      return Result.broken(Kind.BROKEN, requestId, stream, "stream without an end");
+      return Result.withoutAnswer(Kind.BROKEN, requestId, stream, "stream without an end");
     } catch (ExecutionException e) {
-      return failed(e.getCause(), requestIdOf(head), streamOf(head));
+      return failure(e.getCause(), requestIdOf(head), streamOf(head));
     } catch (TimeoutException e) {
       reader.stop();
-      whole.cancel(true);
-      if (leaves(planned, answer)) {
-        return Result.broken(Kind.LEFT, requestIdOf(head), streamOf(head), "left on the way");
+      responseFuture.cancel(true);
+      if (abandons(planned, answer)) {
+        return Result.withoutAnswer(
+            Kind.LEFT, requestIdOf(head), streamOf(head), "left on the way");
       }
-      return Result.broken(Kind.BROKEN, requestIdOf(head), streamOf(head), "fell silent");
+      return Result.withoutAnswer(Kind.BROKEN, requestIdOf(head), streamOf(head), "fell silent");
     }
   }
 
-  // A stopped entry keeps its connections open and says nothing: after the idle time the caller
-  // leaves the answer and goes to another entry.
-  private HttpResponse<byte[]> await(
+  // An entry whose process is suspended keeps its connections open and sends nothing. After the
+  // idle time the caller gives this answer up and turns to another entry.
+  private HttpResponse<byte[]> awaitResponse(
       PlannedRequest planned,
-      CompletableFuture<HttpResponse<byte[]>> whole,
+      CompletableFuture<HttpResponse<byte[]>> responseFuture,
       CompletableFuture<HttpResponse.ResponseInfo> head,
-      Duration patience,
+      Duration timeout,
       StreamedAnswer answer,
       StreamReader reader)
       throws InterruptedException, ExecutionException, TimeoutException {
-    long giveUpAt = System.nanoTime() + patience.toNanos();
+    long deadlineNanos = System.nanoTime() + timeout.toNanos();
     long idleNanos = TimeUnit.SECONDS.toNanos(options.idleSeconds());
     while (true) {
       try {
-        return whole.get(POLL_MILLIS, TimeUnit.MILLISECONDS);
+        return responseFuture.get(POLL_MILLIS, TimeUnit.MILLISECONDS);
       } catch (TimeoutException e) {
         long now = System.nanoTime();
         boolean silent = head.isDone() && now - reader.lastLineNanos() > idleNanos;
-        if (silent || now > giveUpAt || leaves(planned, answer)) {
+        if (silent || now > deadlineNanos || abandons(planned, answer)) {
           throw e;
         }
       }
     }
   }
 
-  private static boolean leaves(PlannedRequest planned, StreamedAnswer answer) {
+  private static boolean abandons(PlannedRequest planned, StreamedAnswer answer) {
     return planned.abandonAfterChunks().isPresent()
         && answer.nextChunk() >= planned.abandonAfterChunks().getAsInt();
   }
 
-  private static Result whole(HttpResponse<byte[]> response) {
+  private static Result resultOf(HttpResponse<byte[]> response) {
     String requestId = header(response.headers(), "Ibishub-Request-Id");
     Optional<JsonNode> body = jsonOf(response.body());
     if (response.statusCode() / 100 == 2) {
@@ -209,16 +212,17 @@
         "status " + response.statusCode() + ": " + problem.detail());
   }
 
-  private static Result failed(Throwable cause, String requestId, String stream) {
+  private static Result failure(Throwable cause, String requestId, String stream) {
     boolean notSent =
         cause instanceof ConnectException || cause instanceof HttpConnectTimeoutException;
-    return Result.broken(
+    return Result.withoutAnswer(
         notSent ? Kind.UNREACHABLE : Kind.BROKEN, requestId, stream, cause.toString());
   }
 
-  private HttpRequest.Builder builder(PlannedRequest request, URI entry, Duration patience) {
+  private HttpRequest.Builder builder(PlannedRequest request, URI entry, Duration timeout) {
     HttpRequest.Builder builder =
-        HttpRequest.newBuilder(URI.create(entry + request.path())).timeout(positive(patience));
+        HttpRequest.newBuilder(URI.create(entry + request.path()))
+            .timeout(atLeastShortest(timeout));
     builder.method(
         request.method(),
         request
@@ -238,8 +242,8 @@
     }
   }
 
-  private static Duration positive(Duration patience) {
-    return patience.compareTo(SHORTEST_TIMEOUT) < 0 ? SHORTEST_TIMEOUT : patience;
+  private static Duration atLeastShortest(Duration timeout) {
+    return timeout.compareTo(SHORTEST_TIMEOUT) < 0 ? SHORTEST_TIMEOUT : timeout;
   }
 
   private static long retryAfterMillis(HttpResponse<?> response) {
