--- a/standins/src/main/java/dev/ibishub/standins/CallerSession.java
+++ b/standins/src/main/java/dev/ibishub/standins/CallerSession.java
@@ -11,14 +11,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One request from its first attempt to its final answer, as a careful caller goes about it: a
- * refusal as not run is sent again when the entry says, a broken stream is joined again elsewhere,
- * a call that may not be repeated is only ever sent again with its key. Used by one thread.
+ * Carries one request through entries, from its first attempt to its final outcome, following the
+ * retry rules for callers.
+ *
+ * <p>A request that was refused as not run is sent again after the time that the entry names; a
+ * broken stream is resumed at another entry; and a call that must not run twice is sent again only
+ * with its idempotency key. Used by one thread.
  */
 final class CallerSession {
   private static final long PAUSE_MILLIS = 100;
   private static final int DONE = 0;
-  private static final Set<Integer> NO_USE_TO_RETRY =
+  private static final Set<Integer> NOT_RETRYABLE =
       Set.of(
           ResultCode.ANSWER_NO_LONGER_KEPT.number(), ResultCode.IDEMPOTENCY_KEY_EXPIRED.number());
 
@@ -26,12 +29,12 @@
   private final EntryClient entryClient;
   private final EntryAddresses addresses;
   private final LoadOptions options;
-  private final long giveUpAtNanos;
+  private final long deadlineNanos;
   private final List<Long> chunkNanos = new ArrayList<>();
   private final List<String> notRunIds = new ArrayList<>();
   private StreamedAnswer answer = new StreamedAnswer();
   private String stream = "";
-  private int turn;
+  private int addressIndex;
   private int attempts;
   private int resumes;
   private int restarts;
@@ -39,25 +42,26 @@
   private Optional<Problem> lastProblem = Optional.empty();
   private String lastDetail = "";
 
-  /** What became of a request. */
+  /** Outcome of a request from the caller's point of view. */
   enum Outcome {
     DONE,
     NOT_RUN,
     OUTCOME_UNKNOWN,
-    /** The caller itself left on the way. */
+    /** The caller abandoned the answer, as planned. */
     LEFT,
-    /** No answer of any kind within the caller's patience. */
+    /** No answer of any kind came within the timeout. */
     LOST,
-    /** An answer that must never be: wrong, partial or doubled. */
+    /** The answer was wrong, partial or duplicated, which must never happen. */
     BREACH
   }
 
   /**
-   * A request's end.
+   * The outcome of a request with its counts and times.
    *
-   * @param resultCode number of the last result code, 0 when done
-   * @param chunkNanos when each chunk came, by {@code System.nanoTime()}
-   * @param notRunIds the entries' names of attempts that were refused as not run
+   * @param resultCode number of the last result code, 0 when done, -1 where there is none
+   * @param chunkNanos arrival time of each chunk, as {@code System.nanoTime()}
+   * @param notRunIds the entries' request ids of attempts that were refused as not run
+   * @param endNanos time of the outcome, as {@code System.nanoTime()}
    */
   record Ending(
       PlannedRequest request,
@@ -81,38 +85,40 @@
     this.entryClient = entryClient;
     this.addresses = addresses;
     this.options = options;
-    this.turn = request.number();
-    this.giveUpAtNanos =
+    this.addressIndex = request.number();
+    this.deadlineNanos =
         startNanos + request.intendedNanos() + TimeUnit.SECONDS.toNanos(options.timeoutSeconds());
   }
 
-  /** Runs the request to its end. */
+  /**
+   * Runs the request until its outcome is known, the retries are used up or the timeout has passed.
+   */
   Ending run() throws InterruptedException {
-    while (left().toNanos() > 0 && attempts <= options.retries()) {
-      EntryClient.Result result = attempt(addresses.address(turn));
-      Optional<Ending> ending = judge(result);
+    while (remaining().toNanos() > 0 && attempts <= options.retries()) {
+      EntryClient.Result result = attempt(addresses.address(addressIndex));
+      Optional<Ending> ending = handleResult(result);
       if (ending.isPresent()) {
         return ending.get();
       }
     }
-    return givenUp();
+    return endingAfterLastAttempt();
   }
 
   private EntryClient.Result attempt(URI entry) throws InterruptedException {
     if (!request.streamed()) {
       attempts++;
-      return entryClient.send(request, entry, left());
+      return entryClient.send(request, entry, remaining());
     }
     StreamReader reader = new StreamReader(answer, chunkNanos::add);
     if (!stream.isEmpty()) {
       resumes++;
-      return entryClient.resume(request, entry, stream, left(), answer, reader);
+      return entryClient.resume(request, entry, stream, remaining(), answer, reader);
     }
     attempts++;
-    return entryClient.stream(request, entry, left(), answer, reader);
+    return entryClient.stream(request, entry, remaining(), answer, reader);
   }
 
-  private Optional<Ending> judge(EntryClient.Result result) throws InterruptedException {
+  private Optional<Ending> handleResult(EntryClient.Result result) throws InterruptedException {
     lastDetail = result.detail();
     return switch (result.kind()) {
       case ANSWERED -> answered(result);
@@ -121,7 +127,7 @@
       case UNREACHABLE -> {
         attempts = Math.max(0, attempts - 1);
         addresses.invalidate();
-        goElsewhere(PAUSE_MILLIS);
+        moveToNextEntry(PAUSE_MILLIS);
         yield Optional.empty();
       }
       case BROKEN -> {
@@ -131,9 +137,9 @@
           stream = result.stream();
         }
         if (stream.isEmpty()) {
-          startAnew();
+          resetAnswer();
         }
-        goElsewhere(resumes > 0 ? PAUSE_MILLIS : 0);
+        moveToNextEntry(resumes > 0 ? PAUSE_MILLIS : 0);
         yield Optional.empty();
       }
     };
@@ -141,8 +147,8 @@
 
   private Optional<Ending> answered(EntryClient.Result result) throws InterruptedException {
     if (!request.streamed()) {
-      boolean own = result.body().map(this::isOwnAnswer).orElse(false);
-      return Optional.of(own ? ending(Outcome.DONE, DONE, "") : breach("wrong answer"));
+      boolean matches = result.body().map(this::isExpectedAnswer).orElse(false);
+      return Optional.of(matches ? ending(Outcome.DONE, DONE, "") : breach("wrong answer"));
     }
     if (answer.breach().isPresent()) {
       return Optional.of(breach(answer.breach().get()));
@@ -150,13 +156,13 @@
     int code = answer.endCode().orElse(DONE);
     if (code != DONE) {
       lastProblem = Optional.of(new Problem(code, "outcome unknown", "end of stream"));
-      startAnew();
-      goElsewhere(PAUSE_MILLIS);
+      resetAnswer();
+      moveToNextEntry(PAUSE_MILLIS);
       return Optional.empty();
     }
-    boolean own = answer.text().equals(request.expectedText());
+    boolean matches = answer.text().equals(request.expectedText());
     return Optional.of(
-        own
+        matches
             ? ending(Outcome.DONE, DONE, "")
             : breach("wrong: got " + answer.text() + " for " + request.expectedText()));
   }
@@ -164,31 +170,31 @@
   private Optional<Ending> refused(EntryClient.Result result) throws InterruptedException {
     Problem problem = result.problem().orElseThrow();
     lastProblem = Optional.of(problem);
-    // A refused join says nothing about the answer itself, which may have run in part.
-    boolean joining = !stream.isEmpty();
-    if (problem.notRun() && !joining && !result.requestId().isEmpty()) {
+    // A refused resumption says nothing about the answer itself, which may have run in part.
+    boolean resuming = !stream.isEmpty();
+    if (problem.notRun() && !resuming && !result.requestId().isEmpty()) {
       notRunIds.add(result.requestId());
     }
     mayHaveRun |= !problem.notRun();
-    boolean never =
+    boolean neverRetry =
         ResultCode.ofNumber(problem.resultCode())
             .map(code -> code.retry() == ResultCode.Retry.NEVER)
             .orElse(false);
-    if ((never && !joining) || NO_USE_TO_RETRY.contains(problem.resultCode())) {
-      return Optional.of(told(problem));
+    if ((neverRetry && !resuming) || NOT_RETRYABLE.contains(problem.resultCode())) {
+      return Optional.of(endingWith(problem));
     }
-    boolean brokenOnTheWay = !result.stream().isEmpty() && !joining && !problem.notRun();
-    if (brokenOnTheWay) {
+    boolean brokenMidStream = !result.stream().isEmpty() && !resuming && !problem.notRun();
+    if (brokenMidStream) {
       stream = result.stream();
       answer.clearProblem();
     } else {
-      startAnew();
+      resetAnswer();
     }
-    goElsewhere(result.retryAfterMillis() > 0 ? result.retryAfterMillis() : PAUSE_MILLIS);
+    moveToNextEntry(result.retryAfterMillis() > 0 ? result.retryAfterMillis() : PAUSE_MILLIS);
     return Optional.empty();
   }
 
-  private boolean isOwnAnswer(JsonNode body) {
+  private boolean isExpectedAnswer(JsonNode body) {
     if (request.forModel()) {
       return StreamReader.textOf(body.path("choices").path(0))
           .map(request.expectedText()::equals)
@@ -199,28 +205,28 @@
         && request.path().endsWith(body.path("path").asText("no path"));
   }
 
-  private void startAnew() {
+  private void resetAnswer() {
     restarts += answer.restarts();
     answer = new StreamedAnswer();
     stream = "";
     chunkNanos.clear();
   }
 
-  private void goElsewhere(long pauseMillis) throws InterruptedException {
-    turn++;
-    Thread.sleep(Math.min(pauseMillis, Math.max(0, left().toMillis())));
+  private void moveToNextEntry(long pauseMillis) throws InterruptedException {
+    addressIndex++;
+    Thread.sleep(Math.min(pauseMillis, Math.max(0, remaining().toMillis())));
   }
 
-  private Duration left() {
-    return Duration.ofNanos(giveUpAtNanos - System.nanoTime());
+  private Duration remaining() {
+    return Duration.ofNanos(deadlineNanos - System.nanoTime());
   }
 
-  private Ending givenUp() {
-    return lastProblem.map(this::told).orElseGet(() -> ending(Outcome.LOST, -1, lastDetail));
+  private Ending endingAfterLastAttempt() {
+    return lastProblem.map(this::endingWith).orElseGet(() -> ending(Outcome.LOST, -1, lastDetail));
   }
 
-  private Ending told(Problem problem) {
-    // "Not run" of the last attempt says nothing about one before it that broke.
+  private Ending endingWith(Problem problem) {
+    // A "not run" of the last attempt says nothing about an earlier attempt that broke.
     Outcome outcome = problem.notRun() && !mayHaveRun ? Outcome.NOT_RUN : Outcome.OUTCOME_UNKNOWN;
     return ending(outcome, problem.resultCode(), problem.detail());
   }
