--- a/standins/src/main/java/dev/ibishub/standins/EntryAddresses.java
+++ b/standins/src/main/java/dev/ibishub/standins/EntryAddresses.java
@@ -13,8 +13,8 @@
 import java.util.stream.Stream;
 
 /**
- * The entry addresses that a caller uses: asked of any entry, kept until they run out. Thread-safe
- * under its own lock.
+ * Cache of the entry addresses that the load tool uses: read from any entry and kept until the
+ * first of them expires. Thread-safe under its own lock.
  */
 final class EntryAddresses {
   private static final Duration TIMEOUT = Duration.ofSeconds(2);
@@ -25,12 +25,12 @@
   private final List<URI> seeds;
   private List<URI> addresses = List.of();
   private Instant validUntil = Instant.MIN;
-  private Instant askAgainAt = Instant.MIN;
+  private Instant nextRefreshAt = Instant.MIN;
 
   /** One address in an entry's answer. */
   record Address(String url, String zone, String validUntil) {}
 
-  /** An entry's answer. */
+  /** An entry's answer to {@code GET /v1/addresses}. */
   record Answer(List<Address> addresses) {}
 
   EntryAddresses(HttpClient client, List<URI> seeds) {
@@ -39,22 +39,23 @@
   }
 
   /**
-   * Picks an address.
+   * Returns one of the known addresses.
    *
-   * @param turn counts up; neighbouring turns get different addresses where there are several
+   * @param index selects the address; successive values give different addresses where there are
+   *     several
    */
-  URI address(int turn) throws InterruptedException {
+  URI address(int index) throws InterruptedException {
     synchronized (lock) {
       Instant now = Instant.now();
-      if (!now.isBefore(validUntil) && !now.isBefore(askAgainAt)) {
+      if (!now.isBefore(validUntil) && !now.isBefore(nextRefreshAt)) {
         refresh(now);
       }
       List<URI> known = addresses.isEmpty() ? seeds : addresses;
-      return known.get(Math.floorMod(turn, known.size()));
+      return known.get(Math.floorMod(index, known.size()));
     }
   }
 
-  /** Makes the next caller ask again, as an address has failed. */
+  /** Expires the cached addresses after a failure, so that the next call reads them again. */
   void invalidate() {
     synchronized (lock) {
       validUntil = Instant.MIN;
@@ -62,17 +63,17 @@
   }
 
   private void refresh(Instant now) throws InterruptedException {
-    askAgainAt = now.plus(RETRY_PAUSE);
-    List<URI> asked = new ArrayList<>(addresses);
-    seeds.stream().filter(seed -> !asked.contains(seed)).forEach(asked::add);
-    for (URI entry : asked) {
-      if (ask(entry)) {
+    nextRefreshAt = now.plus(RETRY_PAUSE);
+    List<URI> candidates = new ArrayList<>(addresses);
+    seeds.stream().filter(seed -> !candidates.contains(seed)).forEach(candidates::add);
+    for (URI entry : candidates) {
+      if (readFrom(entry)) {
         return;
       }
     }
   }
 
-  private boolean ask(URI entry) throws InterruptedException {
+  private boolean readFrom(URI entry) throws InterruptedException {
     try {
       HttpRequest request =
           HttpRequest.newBuilder(URI.create(entry + "/v1/addresses")).timeout(TIMEOUT).build();
@@ -80,13 +81,13 @@
       if (response.statusCode() != 200) {
         return false;
       }
-      List<Address> answered = OutboundJson.read(response.body(), Answer.class).addresses();
-      if (answered.isEmpty()) {
+      List<Address> received = OutboundJson.read(response.body(), Answer.class).addresses();
+      if (received.isEmpty()) {
         return false;
       }
-      addresses = answered.stream().map(address -> URI.create(address.url())).toList();
+      addresses = received.stream().map(address -> URI.create(address.url())).toList();
       validUntil =
-          answered.stream()
+          received.stream()
               .flatMap(address -> Stream.ofNullable(address.validUntil()))
               .map(Instant::parse)
               .min(Instant::compareTo)
