--- a/standins/src/main/java/dev/ibishub/standins/LoadMain.java
+++ b/standins/src/main/java/dev/ibishub/standins/LoadMain.java
@@ -19,15 +19,16 @@
 import joptsimple.OptionSet;
 
 /**
- * The program {@code ibishub-load}: open-loop load that checks every answer. It exits with 0 when
- * all held, 1 on a breach (an answer lost, doubled, wrong or partial), 2 on wrong options and 3
- * when it could not send all that was due.
+ * The program {@code ibishub-load}: generates open-loop load and checks every answer.
+ *
+ * <p>It exits with 0 when every check passed, 1 on a breach (an answer that is lost, duplicated,
+ * wrong or partial), 2 on wrong options, and 3 when it could not send every request that was due.
  */
 public final class LoadMain {
   private static final int EXIT_BREACH = 1;
   private static final int EXIT_USAGE = 2;
   private static final int EXIT_NOT_SENT = 3;
-  private static final long WARM_UP_NANOS = 200_000_000;
+  private static final long START_DELAY_NANOS = 200_000_000;
 
   private LoadMain() {}
 
@@ -58,12 +59,12 @@
     System.exit(exitCode(report));
   }
 
-  /** Runs a load to its end, audit included. */
+  /** Runs a load to its end, including the audit. */
   static LoadReport run(LoadOptions options) throws IOException, InterruptedException {
     ExecutorService executor = Executors.newCachedThreadPool();
     try {
       HttpClient client = OutboundHttp.newClient(executor);
-      long startNanos = System.nanoTime() + WARM_UP_NANOS;
+      long startNanos = System.nanoTime() + START_DELAY_NANOS;
       LoadRecorder recorder = new LoadRecorder(startNanos);
       send(options, client, executor, startNanos, recorder);
       List<String> audit = ExecutionAudit.check(client, options, recorder.endings());
@@ -112,7 +113,7 @@
       }
       next = plan.next();
     }
-    // Every session ends by itself within its patience.
+    // Every session ends within its timeout.
     inFlight.acquire(options.maximumInFlight());
   }
 
@@ -121,8 +122,8 @@
     try {
       recorder.record(session.call());
     } catch (Exception e) {
-      // A fault of this tool, not of what it measures: the request is missing from the counts, and
-      // a run that lost one must not pass.
+      // A fault of this tool, not of the system under test. The request is missing from the counts,
+      // so the run must not pass.
       recorder.countFault(e);
     } finally {
       inFlight.release();
--- a/standins/src/main/java/dev/ibishub/standins/LoadOptions.java
+++ b/standins/src/main/java/dev/ibishub/standins/LoadOptions.java
@@ -9,33 +9,35 @@
 import joptsimple.OptionSet;
 
 /**
- * What a load run does. Shares are weights: only their ratio counts.
+ * Options of a load run. Shares of workspaces and models are weights: only their ratio counts.
  *
- * @param entries entries to ask for addresses first
- * @param rate requests a second
- * @param durationSeconds how long requests are sent, seconds
- * @param seed fixes arrivals and requests
- * @param poisson whether arrivals are random, else evenly spaced
- * @param workspaces who sends
- * @param models which models are asked
- * @param promptWords words of a prompt, lowest and highest
- * @param answerTokens tokens wanted, lowest and highest
- * @param wholeShare share of model calls answered whole, 0 to 1
+ * @param entries URLs of the entries that are asked for entry addresses first
+ * @param rate requests per second
+ * @param durationSeconds how long new requests are sent, in seconds
+ * @param seed random seed of arrivals and requests
+ * @param poisson whether arrivals form a Poisson process; otherwise they are evenly spaced
+ * @param workspaces workspaces on whose behalf requests are sent
+ * @param models models to which requests are sent
+ * @param promptWords range of the number of words in a generated prompt
+ * @param answerTokens range of the number of tokens requested
+ * @param unstreamedShare share of model calls that are answered without streaming, 0 to 1
  * @param chatShare share of model calls that are chats, 0 to 1
  * @param service name of the plain service, or empty for none
  * @param serviceShare share of requests that go to the service, 0 to 1
- * @param onceShare share of service calls that may not be repeated, 0 to 1
- * @param requestFile requests to send instead of made-up ones
- * @param retries how often a request is sent again after a refusal or a break
- * @param patienceSeconds after which a request without an answer counts as lost, seconds
- * @param idleSeconds after which a silent answer counts as broken, seconds
- * @param acceptsRestart whether callers let an answer begin anew on the same connection
- * @param mostAtOnce the most requests in flight
- * @param serviceAudits control addresses of the service stand-ins
- * @param engineAudits control addresses of the engine stand-ins
- * @param directEngines engines to send model calls to, past the entries; empty for none
- * @param abandonShare share of streams that the caller leaves on the way, 0 to 1
- * @param reportFile where the JSON report goes
+ * @param atMostOnceShare share of service calls that must not run twice and carry an idempotency
+ *     key, 0 to 1
+ * @param requestFile file of requests to send instead of generated ones
+ * @param retries maximum number of further attempts after a refusal or a broken connection
+ * @param timeoutSeconds time after which a request without an answer counts as lost, in seconds
+ * @param idleSeconds time without data after which a streamed answer counts as broken, in seconds
+ * @param acceptsRestart whether callers accept that an answer restarts from its beginning on the
+ *     same connection
+ * @param maximumInFlight maximum number of requests in flight
+ * @param serviceAuditUrls control addresses of the service stand-ins to audit
+ * @param engineAuditUrls control addresses of the engine stand-ins to audit
+ * @param directEngines engines to which model calls are sent without an entry; empty for none
+ * @param abandonShare share of streams that the caller abandons before the end, 0 to 1
+ * @param reportFile file for the JSON report
  */
 record LoadOptions(
     List<URI> entries,
@@ -63,7 +65,7 @@
     List<URI> directEngines,
     double abandonShare,
     Optional<Path> reportFile) {
-  /** A customer with its key and its share of the requests. */
+  /** A workspace with its API key and its share of the requests. */
   record Workspace(String name, String key, double share) {
     static Workspace parse(String text) {
       String[] parts = text.split(":", 3);
@@ -71,7 +73,7 @@
     }
   }
 
-  /** A name with its share of the requests. */
+  /** A model's name with its share of the requests. */
   record Share(String name, double share) {
     static Share parse(String text) {
       String[] parts = text.split(":", 2);
@@ -79,7 +81,7 @@
     }
   }
 
-  /** Whole numbers from the lowest to the highest, both included. */
+  /** A range of integers, both bounds included. */
   record Range(int lowest, int highest) {
     Range {
       if (lowest < 1 || highest < lowest) {
@@ -106,7 +108,10 @@
     }
   }
 
-  /** The same load for another time and seed, at engines themselves or, with none, at entries. */
+  /**
+   * Returns these options with another duration in seconds, seed and list of direct engines; with
+   * an empty list the load goes to the entries.
+   */
   LoadOptions withRun(long seconds, long runSeed, List<URI> engines) {
     return new LoadOptions(
         entries,
