--- a/standins/src/main/java/dev/ibishub/standins/LoadPlan.java
+++ b/standins/src/main/java/dev/ibishub/standins/LoadPlan.java
@@ -16,10 +16,10 @@
 import java.util.function.ToDoubleFunction;
 
 /**
- * Settles arrivals and requests of a run from its seed alone. Not thread-safe.
+ * Generates the arrivals and requests of a run, determined by its seed alone. Not thread-safe.
  *
- * <p>A made-up prompt begins with a text that all prompts of its workspace share, and ends with the
- * run's seed and the request's number, so that no two requests have the same answer.
+ * <p>A generated prompt begins with a text that all prompts of its workspace share, and ends with
+ * the run's seed and the request's number, so that no two requests have the same answer.
  */
 final class LoadPlan {
   private static final double NANOS_PER_SECOND = 1e9;
@@ -44,9 +44,9 @@
 
   private final LoadOptions options;
   private final SplittableRandom random;
-  private final List<FiledRequest> filed;
+  private final List<RequestFileLine> fileLines;
   private final String keyPrefix;
-  private double nextNanos;
+  private double nextArrivalNanos;
   private int nextNumber;
 
   /**
@@ -55,15 +55,15 @@
    * @param workspace name of the workspace that sends it
    * @param endpoint the path
    * @param body the JSON to send
-   * @param once whether it may not be repeated
+   * @param once whether it must not run twice
    */
-  record FiledRequest(String workspace, String endpoint, JsonNode body, boolean once) {}
+  record RequestFileLine(String workspace, String endpoint, JsonNode body, boolean once) {}
 
-  private LoadPlan(LoadOptions options, List<FiledRequest> filed) {
+  private LoadPlan(LoadOptions options, List<RequestFileLine> fileLines) {
     this.options = options;
     this.random = new SplittableRandom(options.seed());
-    this.filed = filed;
-    // The system takes keys that say when they were made.
+    this.fileLines = fileLines;
+    // An entry accepts only idempotency keys that contain the time of their creation.
     this.keyPrefix = Instant.now().truncatedTo(ChronoUnit.SECONDS) + "/load-";
   }
 
@@ -73,32 +73,32 @@
    * @throws IOException when the request file cannot be read
    */
   static LoadPlan create(LoadOptions options) throws IOException {
-    List<FiledRequest> filed = new ArrayList<>();
+    List<RequestFileLine> fileLines = new ArrayList<>();
     if (options.requestFile().isPresent()) {
       for (String line : Files.readAllLines(options.requestFile().get())) {
-        filed.add(OutboundJson.read(line, FiledRequest.class));
+        fileLines.add(OutboundJson.read(line, RequestFileLine.class));
       }
     }
-    return new LoadPlan(options, List.copyOf(filed));
+    return new LoadPlan(options, List.copyOf(fileLines));
   }
 
-  /** Settles the next request; empty when the run's time is over. */
+  /** Generates the next request; empty when the run's duration is over. */
   Optional<PlannedRequest> next() {
-    nextNanos += interval();
-    if (nextNanos > options.durationSeconds() * NANOS_PER_SECOND) {
+    nextArrivalNanos += interArrivalNanos();
+    if (nextArrivalNanos > options.durationSeconds() * NANOS_PER_SECOND) {
       return Optional.empty();
     }
     int number = nextNumber++;
-    return Optional.of(filed.isEmpty() ? madeUp(number) : filed(number));
+    return Optional.of(fileLines.isEmpty() ? generate(number) : requestFromFile(number));
   }
 
-  private double interval() {
+  private double interArrivalNanos() {
     double mean = NANOS_PER_SECOND / options.rate();
     return options.poisson() ? -Math.log(1 - random.nextDouble()) * mean : mean;
   }
 
-  private PlannedRequest filed(int number) {
-    FiledRequest request = filed.get(number % filed.size());
+  private PlannedRequest requestFromFile(int number) {
+    RequestFileLine request = fileLines.get(number % fileLines.size());
     LoadOptions.Workspace workspace =
         options.workspaces().stream()
             .filter(known -> known.name().equals(request.workspace()))
@@ -107,7 +107,7 @@
     return planned(number, workspace, "POST", request.endpoint(), request.body(), request.once());
   }
 
-  private PlannedRequest madeUp(int number) {
+  private PlannedRequest generate(int number) {
     LoadOptions.Workspace workspace = pick(options.workspaces(), LoadOptions.Workspace::share);
     if (!options.service().isEmpty() && random.nextDouble() < options.serviceShare()) {
       return serviceCall(number, workspace);
@@ -150,7 +150,7 @@
         once ? Optional.of(keyPrefix + options.seed() + "-" + number) : Optional.empty();
     return new PlannedRequest(
         number,
-        (long) nextNanos,
+        (long) nextArrivalNanos,
         workspace,
         method,
         path,
--- a/standins/src/main/java/dev/ibishub/standins/PlannedRequest.java
+++ b/standins/src/main/java/dev/ibishub/standins/PlannedRequest.java
@@ -5,16 +5,17 @@
 import java.util.OptionalInt;
 
 /**
- * One request of a load run, settled before it is sent.
+ * One request of a load run, fully determined before it is sent.
  *
- * @param number position in the run
- * @param intendedNanos when it is due, nanoseconds after the run's start
- * @param workspace who sends it
+ * @param number position in the run, from 0
+ * @param intendedNanos intended arrival, in nanoseconds after the start of the run
+ * @param workspace workspace on whose behalf it is sent
  * @param method the HTTP method
- * @param path from the slash on
+ * @param path the path, with its leading slash
  * @param body the JSON to send, or empty for none
- * @param leaveAfter after how many chunks the caller leaves, or empty for never
- * @param idempotencyKey names a call that may not be repeated, or empty
+ * @param abandonAfterChunks number of chunks after which the caller abandons the answer, or empty
+ *     for never
+ * @param idempotencyKey idempotency key of a call that must not run twice, or empty
  */
 record PlannedRequest(
     int number,
@@ -33,7 +34,7 @@
     return body.map(json -> json.path("stream").asBoolean()).orElse(false);
   }
 
-  /** The whole text that a model call must be answered with. */
+  /** Returns the text that a correct answer to this model call has. */
   String expectedText() {
     JsonNode json = body.orElseThrow();
     return ExpectedAnswer.text(json.path("model").asText(), json);
