--- a/standins/src/main/java/dev/ibishub/standins/LoadRecorder.java
+++ b/standins/src/main/java/dev/ibishub/standins/LoadRecorder.java
@@ -8,13 +8,15 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Counts endings and measures their times from the intended arrival, so that a request that was
- * sent late because the caller was held up counts with its wait. Thread-safe under its own lock.
+ * Counts request outcomes and records latencies, measured from the intended arrival.
+ *
+ * <p>The wait of a request that is sent late because the load tool was held up therefore counts as
+ * latency. Thread-safe under its own lock.
  */
 final class LoadRecorder {
   private static final long HIGHEST_MICROS = 3_600_000_000L;
-  private static final int DIGITS = 3;
-  private static final int KEPT_EXAMPLES = 20;
+  private static final int SIGNIFICANT_DIGITS = 3;
+  private static final int MAXIMUM_EXAMPLES = 20;
   private static final double MICROS_PER_MILLI = 1000;
 
   private final Object lock = new Object();
@@ -33,7 +35,7 @@
   private int restarts;
   private int notSent;
 
-  /** Times in milliseconds. */
+  /** Number of recorded times, with percentiles and maximum in milliseconds. */
   record Times(long count, double p50, double p95, double p99, double max) {
     static Times of(Histogram histogram) {
       return new Times(
@@ -60,14 +62,15 @@
       if (ending.outcome() == CallerSession.Outcome.DONE) {
         recordTimes(ending);
       } else if (isBreach(ending)) {
-        breach(ending.outcome() + " request " + ending.request().number() + ": " + ending.detail());
+        addBreach(
+            ending.outcome() + " request " + ending.request().number() + ": " + ending.detail());
       }
     }
   }
 
   void countFault(Exception fault) {
     synchronized (lock) {
-      breach("FAULT of the load tool: " + fault);
+      addBreach("FAULT of the load tool: " + fault);
     }
   }
 
@@ -77,7 +80,7 @@
     }
   }
 
-  /** Every ending so far. */
+  /** Returns the endings recorded so far. */
   List<CallerSession.Ending> endings() {
     synchronized (lock) {
       return List.copyOf(endings);
@@ -85,9 +88,9 @@
   }
 
   /**
-   * Sums up.
+   * Creates the report of the run.
    *
-   * @param auditBreaches what the audit of the stand-ins found
+   * @param auditBreaches breaches that the audit of the stand-ins found
    */
   LoadReport report(LoadOptions options, List<String> auditBreaches) {
     synchronized (lock) {
@@ -112,12 +115,12 @@
           Times.of(service),
           byWorkspace,
           all.size(),
-          all.stream().limit(KEPT_EXAMPLES).toList());
+          all.stream().limit(MAXIMUM_EXAMPLES).toList());
     }
   }
 
   private static Histogram newHistogram() {
-    return new Histogram(HIGHEST_MICROS, DIGITS);
+    return new Histogram(HIGHEST_MICROS, SIGNIFICANT_DIGITS);
   }
 
   private static boolean isBreach(CallerSession.Ending ending) {
@@ -125,27 +128,27 @@
         || ending.outcome() == CallerSession.Outcome.BREACH;
   }
 
-  private void breach(String detail) {
+  private void addBreach(String detail) {
     breaches.add(detail);
   }
 
   private void recordTimes(CallerSession.Ending ending) {
-    long intended = startNanos + ending.request().intendedNanos();
-    long wholeMicros = micros(ending.endNanos() - intended);
+    long intendedArrivalNanos = startNanos + ending.request().intendedNanos();
+    long totalMicros = micros(ending.endNanos() - intendedArrivalNanos);
     if (!ending.request().forModel()) {
-      service.recordValue(wholeMicros);
+      service.recordValue(totalMicros);
       return;
     }
-    total.recordValue(wholeMicros);
+    total.recordValue(totalMicros);
     List<Long> chunks = ending.chunkNanos();
     if (chunks.isEmpty()) {
       return;
     }
-    long first = micros(chunks.get(0) - intended);
-    firstToken.recordValue(first);
+    long firstTokenMicros = micros(chunks.get(0) - intendedArrivalNanos);
+    firstToken.recordValue(firstTokenMicros);
     firstTokenByWorkspace
         .computeIfAbsent(ending.request().workspace().name(), unused -> newHistogram())
-        .recordValue(first);
+        .recordValue(firstTokenMicros);
     IntStream.range(1, chunks.size())
         .forEach(next -> tokenGap.recordValue(micros(chunks.get(next) - chunks.get(next - 1))));
   }
--- a/standins/src/main/java/dev/ibishub/standins/LoadReport.java
+++ b/standins/src/main/java/dev/ibishub/standins/LoadReport.java
@@ -4,11 +4,13 @@
 import java.util.Map;
 
 /**
- * What a load run found. Times are in milliseconds; those to the first token and of the whole count
- * from the intended arrival.
+ * The result of a load run. Times are in milliseconds; those to the first token and to the end of
+ * the answer count from the intended arrival.
  *
- * @param notSent requests that were due while too many were in flight: the load was not open
- * @param breachCount answers lost, doubled, wrong or partial, and what the audit found
+ * @param notSent requests that were due while too many were in flight, so that the load was not
+ *     open-loop
+ * @param breachCount number of answers that were lost, duplicated, wrong or partial, and of
+ *     breaches that the audit found
  */
 record LoadReport(
     long seed,
@@ -33,7 +35,7 @@
     breaches = List.copyOf(breaches);
   }
 
-  /** The report as text for people. */
+  /** Returns the report as text for people. */
   String text() {
     StringBuilder text = new StringBuilder();
     text.append(
