--- a/standins/src/main/java/dev/ibishub/standins/StreamReader.java
+++ b/standins/src/main/java/dev/ibishub/standins/StreamReader.java
@@ -9,9 +9,11 @@
 import java.util.function.LongConsumer;
 
 /**
- * Reads one streamed answer, event by event, and notes when each chunk came. Several readers in
- * turn fill one answer when it is joined again. Thread-safe: the client writes, the caller's thread
- * reads.
+ * Parses the server-sent events of one connection into a {@link StreamedAnswer} and reports when
+ * each chunk came.
+ *
+ * <p>Several readers in turn fill one answer when it is resumed. Thread-safe: the HTTP client's
+ * thread writes, and the session's thread reads.
  */
 final class StreamReader implements Flow.Subscriber<String> {
   private final StreamedAnswer answer;
@@ -26,19 +28,19 @@
   /**
    * Creates a reader.
    *
-   * @param chunkTimes takes {@code System.nanoTime()} of each chunk that has text
+   * @param chunkTimes receives {@code System.nanoTime()} for each chunk that has text
    */
   StreamReader(StreamedAnswer answer, LongConsumer chunkTimes) {
     this.answer = answer;
     this.chunkTimes = chunkTimes;
   }
 
-  /** When the last line came, by {@code System.nanoTime()}. */
+  /** Returns when the last line came, as {@code System.nanoTime()}. */
   synchronized long lastLineNanos() {
     return lastLineNanos;
   }
 
-  /** Takes nothing more: what still comes belongs to an answer that the caller has left. */
+  /** Ignores all further lines: the caller has given this connection up. */
   synchronized void stop() {
     stopped = true;
     if (subscription != null) {
@@ -71,18 +73,18 @@
 
   @Override
   public void onError(Throwable throwable) {
-    // The client fails the call by itself.
+    // The HTTP client fails the call's future.
   }
 
   @Override
   public void onComplete() {
-    // The answer tells whether its end has come.
+    // The answer knows whether its end event came.
   }
 
   private void dispatch() {
     if (!data.isEmpty() && !data.equals("[DONE]")) {
       try {
-        take(OutboundJson.readTree(data.getBytes(StandardCharsets.UTF_8)));
+        handleEvent(OutboundJson.readTree(data.getBytes(StandardCharsets.UTF_8)));
       } catch (IOException e) {
         answer.breach("unreadable event: " + e.getMessage());
       }
@@ -92,7 +94,7 @@
     id = -1;
   }
 
-  private void take(JsonNode json) {
+  private void handleEvent(JsonNode json) {
     switch (event) {
       case "end" ->
           answer.end(
@@ -113,7 +115,7 @@
     answer.chunk(id, text);
   }
 
-  /** The text of a choice, whole or streamed, of a completion or a chat. */
+  /** Returns the text of a choice of a completion or a chat, streamed or not; empty for none. */
   static Optional<String> textOf(JsonNode choice) {
     for (JsonNode text :
         new JsonNode[] {
--- a/standins/src/main/java/dev/ibishub/standins/StreamedAnswer.java
+++ b/standins/src/main/java/dev/ibishub/standins/StreamedAnswer.java
@@ -4,10 +4,7 @@
 import java.util.Optional;
 import java.util.zip.CRC32C;
 
-/**
- * A streamed answer as the caller puts it together, over several connections if need be.
- * Thread-safe.
- */
+/** A streamed answer, assembled from the chunks of one or more connections. Thread-safe. */
 final class StreamedAnswer {
   private final StringBuilder text = new StringBuilder();
   private long nextChunk;
@@ -36,7 +33,9 @@
     return Optional.ofNullable(problem);
   }
 
-  /** What was wrong with the answer, of the things that must never happen. */
+  /**
+   * Returns the violation found in the answer, of a kind that must never happen; empty for none.
+   */
   synchronized Optional<String> breach() {
     return Optional.ofNullable(breach);
   }
@@ -73,9 +72,11 @@
   }
 
   /**
-   * Takes the end.
+   * Handles the end event of the stream.
    *
-   * @param checksum the entry's CRC-32C over the text of all chunks
+   * @param chunks number of chunks that the entry sent
+   * @param checksum the entry's CRC-32C of the text of all chunks
+   * @param resultCode number of the result code, 0 for a complete answer
    */
   synchronized void end(long chunks, long checksum, int resultCode) {
     if (endCode != null) {
