--- a/standins/src/main/java/dev/ibishub/standins/DirectSession.java
+++ b/standins/src/main/java/dev/ibishub/standins/DirectSession.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.CompletionException;
 
 /**
- * One model call sent to an engine itself, past entry and agent: what those add to the times is
- * measured against it. Nothing is tried twice. Used by one thread.
+ * Sends one model call directly to an engine, without entry and agent, as the baseline for the
+ * latency that those add. Doesn't retry. Used by one thread.
  */
 final class DirectSession {
   private final PlannedRequest request;
@@ -30,9 +30,9 @@
 
   CallerSession.Ending run() {
     try {
-      engine.generate(call(), this::take).join();
-      boolean own = text.toString().equals(request.expectedText());
-      return own
+      engine.generate(call(), this::addPiece).join();
+      boolean matches = text.toString().equals(request.expectedText());
+      return matches
           ? ending(CallerSession.Outcome.DONE, ResultCode.OK, "")
           : ending(CallerSession.Outcome.BREACH, ResultCode.INTERNAL, "wrong: got " + text);
     } catch (CompletionException e) {
@@ -58,7 +58,7 @@
         Instant.now().plusSeconds(options.timeoutSeconds()));
   }
 
-  private void take(long number, String piece) {
+  private void addPiece(long number, String piece) {
     chunkNanos.add(System.nanoTime());
     text.append(piece);
   }
--- a/standins/src/main/java/dev/ibishub/standins/OverheadMain.java
+++ b/standins/src/main/java/dev/ibishub/standins/OverheadMain.java
@@ -9,9 +9,11 @@
 import joptsimple.OptionSet;
 
 /**
- * The program behind {@code bin/bench overhead}: sends the same load to the engines themselves and
- * through entry and agent, and prints what those add. It takes the options of {@code ibishub-load};
- * {@code --direct-engines} names the engines behind the entries.
+ * The program behind {@code bin/bench overhead}: sends the same load directly to the engines and
+ * through entry and agent, and prints the latency that entry and agent add.
+ *
+ * <p>It takes the options of {@code ibishub-load}; {@code --direct-engines} names the engines
+ * behind the entries.
  */
 public final class OverheadMain {
   private static final long WARM_UP_SECONDS = 10;
@@ -19,11 +21,11 @@
 
   private OverheadMain() {}
 
-  /** Both reports of one run. */
+  /** The reports of the direct load and of the load through entry and agent. */
   record Overhead(LoadReport direct, LoadReport through) {}
 
   /**
-   * Warms up both ways, then measures both.
+   * Warms up both paths, then measures both.
    *
    * @throws IOException when the report cannot be written
    */
@@ -31,7 +33,8 @@
     OptionParser parser = LoadOptions.parser();
     OptionSet parsed = parser.parse(arguments);
     LoadOptions options = LoadOptions.of(parsed);
-    // The first seconds of a JVM run interpreted code, of this tool as of entry, agent and engine.
+    // A JVM runs interpreted code in its first seconds: this tool as well as entry, agent and
+    // engine.
     runBoth(options, WARM_UP_SECONDS, options.seed());
     Overhead overhead = runBoth(options, options.durationSeconds(), options.seed() + 1);
     print(overhead);
@@ -69,8 +72,8 @@
         through.p99() - direct.p99());
   }
 
-  private static void row(String name, String way, double p50, double p95, double p99) {
-    System.out.printf("%-12s %-10s %9.2f %9.2f %9.2f%n", name, way, p50, p95, p99);
+  private static void row(String name, String path, double p50, double p95, double p99) {
+    System.out.printf("%-12s %-10s %9.2f %9.2f %9.2f%n", name, path, p50, p95, p99);
   }
 
   private static void write(Path file, Overhead overhead) throws IOException {
