--- a/standins/src/main/java/dev/ibishub/standins/ExecutionAudit.java
+++ b/standins/src/main/java/dev/ibishub/standins/ExecutionAudit.java
@@ -19,8 +19,10 @@
 import java.util.stream.Collectors;
 
 /**
- * Holds what callers were told against what the stand-ins ran: a key runs at most once, a done call
- * ran once, and what was refused as not run never ran.
+ * Compares the outcomes that callers received with what the stand-ins executed.
+ *
+ * <p>An idempotency key runs at most once, a call reported as done ran exactly once, and an attempt
+ * that was refused as not run never ran.
  */
 final class ExecutionAudit {
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
@@ -35,7 +37,7 @@
   }
 
   /**
-   * Reads the stand-ins' records and compares.
+   * Reads the records of the stand-ins and compares them with the outcomes.
    *
    * @return the breaches found, empty for none; a stand-in that cannot be read is one
    */
--- a/standins/src/main/java/dev/ibishub/standins/Problem.java
+++ b/standins/src/main/java/dev/ibishub/standins/Problem.java
@@ -3,11 +3,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What problem JSON says.
+ * The fields of an error response's problem JSON that the load tool reads.
  *
  * @param resultCode number of the result code, 0 where none was given
  * @param outcome {@code not run}, {@code outcome unknown} or {@code done}
- * @param detail for people
+ * @param detail explanation for people
  */
 record Problem(int resultCode, String outcome, String detail) {
   static Problem of(JsonNode json) {
