--- a/standins/src/main/java/dev/ibishub/standins/ExpectedAnswer.java
+++ b/standins/src/main/java/dev/ibishub/standins/ExpectedAnswer.java
@@ -9,11 +9,13 @@
 import java.util.zip.CRC32C;
 
 /**
- * The answer that the engine stand-in gives: a function of model, prompt and wanted length alone,
- * so that whoever asked can tell whether an answer is whole and its own.
+ * Computes the answer of the engine stand-in, a function of model, prompt and requested length
+ * alone.
+ *
+ * <p>A client can therefore check that an answer is complete and belongs to its request.
  */
 public final class ExpectedAnswer {
-  /** How many tokens an answer has where the caller names no number. */
+  /** Number of tokens in an answer when the request sets no maximum. */
   public static final int DEFAULT_TOKENS = 24;
 
   private static final String[] WORDS = {
@@ -24,26 +26,26 @@
   private ExpectedAnswer() {}
 
   /**
-   * The tokens of the answer to a caller's request.
+   * Returns the tokens of the answer to a request.
    *
-   * @param model the model's name; an adapter or version behind it changes nothing
-   * @param body the caller's JSON, of a completion or a chat
-   * @return the tokens in order; joined they are the answer's text
+   * @param model the model's name; an adapter or version suffix doesn't change the answer
+   * @param body the request's JSON, a completion or a chat
+   * @return the tokens in order; concatenated they are the answer's text
    */
   public static List<String> tokens(String model, JsonNode body) {
     String base = model.split("[+@]", 2)[0];
     long digest = digest(base + "\n" + promptOf(body));
-    return IntStream.range(0, wantedTokens(body))
+    return IntStream.range(0, requestedTokens(body))
         .mapToObj(number -> token(digest, number))
         .collect(Collectors.toList());
   }
 
-  /** The whole text of the answer. */
+  /** Returns the full text of the answer. */
   public static String text(String model, JsonNode body) {
     return String.join("", tokens(model, body));
   }
 
-  /** The prompt: that of a completion, or the contents of a chat's messages, a line each. */
+  /** Returns the prompt of a completion, or the contents of a chat's messages, one per line. */
   public static String promptOf(JsonNode body) {
     if (body.has("prompt")) {
       return body.get("prompt").asText();
@@ -53,10 +55,10 @@
         .collect(Collectors.joining("\n"));
   }
 
-  private static int wantedTokens(JsonNode body) {
-    JsonNode wanted =
+  private static int requestedTokens(JsonNode body) {
+    JsonNode requested =
         body.has("max_tokens") ? body.get("max_tokens") : body.path("max_completion_tokens");
-    return Math.max(1, wanted.asInt(DEFAULT_TOKENS));
+    return Math.max(1, requested.asInt(DEFAULT_TOKENS));
   }
 
   private static String token(long digest, int number) {
