--- a/standins/src/main/java/dev/ibishub/standins/FaultInjector.java
+++ b/standins/src/main/java/dev/ibishub/standins/FaultInjector.java
@@ -2,7 +2,7 @@
 
 import java.util.OptionalInt;
 
-/** The faults in force at one stand-in. Thread-safe under its own lock. */
+/** Holds the faults that one stand-in currently injects. Thread-safe under its own lock. */
 final class FaultInjector {
   private final Object lock = new Object();
   private Faults faults = Faults.none();
@@ -20,7 +20,7 @@
     }
   }
 
-  /** Waits while frozen. */
+  /** Blocks while the freeze fault is set. */
   void awaitUnfrozen() throws InterruptedException {
     synchronized (lock) {
       while (faults.freeze()) {
@@ -29,7 +29,7 @@
     }
   }
 
-  /** Uses up one answer to lose; false when none is left. */
+  /** Consumes one lost answer; false when no answer is to be lost. */
   boolean consumeLostAnswer() {
     synchronized (lock) {
       if (faults.loseNextAnswers() <= 0) {
@@ -40,7 +40,10 @@
     }
   }
 
-  /** Uses up one stream to cut and tells after how many pieces; empty when none is left. */
+  /**
+   * Consumes one stream to cut and returns after how many pieces to cut it; empty when none is to
+   * be cut.
+   */
   OptionalInt consumeStreamCut() {
     synchronized (lock) {
       if (faults.cutNextStreams() <= 0) {
--- a/standins/src/main/java/dev/ibishub/standins/Faults.java
+++ b/standins/src/main/java/dev/ibishub/standins/Faults.java
@@ -1,17 +1,17 @@
 package dev.ibishub.standins;
 
 /**
- * Faults to inject into a stand-in, as the JSON of {@code PUT /control/faults}; absent keys mean no
- * fault.
+ * Faults to inject into a stand-in, read from the JSON of {@code PUT /control/faults}; absent keys
+ * mean no fault.
  *
- * @param outage whether every call is refused as not run
- * @param freeze whether calls wait, and steps stand still, until this is false again
- * @param slowMillis how long each call waits before it is run, milliseconds
- * @param loseNextAnswers how many of the next calls that change something take effect and then lose
+ * @param outage whether every call is refused without being run
+ * @param freeze whether calls block, and steps don't begin, while this is true
+ * @param slowMillis delay before each call is run, in milliseconds
+ * @param loseNextAnswers number of further calls other than GET that take effect and then lose
  *     their answer
- * @param cutNextStreams how many of the next generations lose their connection on the way
- * @param cutAfterPieces after how many pieces those are cut
- * @param slowFactor how many times longer this rank's part of a step takes, 0 for no change
+ * @param cutNextStreams number of further streamed answers whose connection is cut
+ * @param cutAfterPieces number of pieces after which such a connection is cut
+ * @param slowFactor factor by which this rank's time per step grows, 0 for no change
  */
 public record Faults(
     boolean outage,
@@ -21,7 +21,7 @@
     int cutNextStreams,
     int cutAfterPieces,
     double slowFactor) {
-  /** A stand-in without faults. */
+  /** Returns the settings that inject no fault. */
   public static Faults none() {
     return new Faults(false, false, 0, 0, 0, 0, 0);
   }
