--- a/standins/src/main/java/dev/ibishub/standins/EngineGroup.java
+++ b/standins/src/main/java/dev/ibishub/standins/EngineGroup.java
@@ -19,14 +19,17 @@
 import java.util.stream.IntStream;
 
 /**
- * The ranks of one group in lock-step: a step begins when every rank may begin it, and takes as
- * long as the slowest rank. Each rank's map version is recorded at every step. Thread-safe under
- * one lock.
+ * The ranks of one group, which run in lock-step: a step begins when every rank may begin it, and
+ * takes as long as the slowest rank.
+ *
+ * <p>The map version of each rank is checked at every step. Thread-safe under one lock.
  */
 final class EngineGroup implements AutoCloseable {
-  private static final int RECORDED_MIXED_STEPS = 100;
+  private static final int MAXIMUM_RECORDED_MIXED_STEPS = 100;
   private static final long IDLE_WAIT_MILLIS = 100;
   private static final long HELD_WAIT_MILLIS = 1;
+
+  /** Share of a step's time that is proportional to the rank's expert load. */
   private static final double EXPERT_SHARE_OF_STEP = 0.3;
 
   private final Object lock = new Object();
@@ -34,7 +37,7 @@
   private final List<EngineRank> ranks;
   private final List<FaultInjector> faults;
   private final ExpertPopularity popularity;
-  private final Thread stepper;
+  private final Thread stepThread;
   private final List<MixedStep> mixedSteps = new ArrayList<>();
   private long mixedStepCount;
   private long heldNanos;
@@ -45,7 +48,7 @@
   /** A step in which ranks used different maps. */
   record MixedStep(long step, List<Long> versions) {}
 
-  /** What {@code GET /control/group} tells. */
+  /** The answer to {@code GET /control/group}. */
   record Audit(
       long steps,
       List<Long> mapVersions,
@@ -62,18 +65,22 @@
     this.ranks =
         IntStream.range(0, options.ranks())
             .mapToObj(rank -> new RankMap(firstMap, options.checksFencing()))
-            .map(map -> new EngineRank(options, map, newStart()))
+            .map(map -> new EngineRank(options, map, newEngineStart()))
             .collect(Collectors.toUnmodifiableList());
     this.popularity =
         new ExpertPopularity(options.experts(), Instant.now(), options.driftSeconds());
-    this.stepper = new Thread(this::runSteps, "steps");
+    this.stepThread = new Thread(this::runSteps, "steps");
   }
 
-  /** Starts the group's steps; one fault switch for each rank. */
+  /**
+   * Starts the thread that runs the group's steps.
+   *
+   * @param faults one fault injector per rank
+   */
   static EngineGroup start(EngineOptions options, List<FaultInjector> faults) {
     EngineGroup group = new EngineGroup(options, faults);
-    group.stepper.setDaemon(true);
-    group.stepper.start();
+    group.stepThread.setDaemon(true);
+    group.stepThread.start();
     return group;
   }
 
@@ -86,11 +93,11 @@
   }
 
   GeneratedStream generate(int rank, GenerationCall call) {
-    return with(rank, engine -> engine.start(call));
+    return withRank(rank, engine -> engine.start(call));
   }
 
   GeneratedStream find(int rank, String streamId) {
-    return with(rank, engine -> engine.find(streamId));
+    return withRank(rank, engine -> engine.find(streamId));
   }
 
   void cancel(int rank, String streamId) {
@@ -100,19 +107,19 @@
   }
 
   EngineLoad load(int rank) {
-    return with(rank, engine -> engine.load(Instant.now()));
+    return withRank(rank, engine -> engine.load(Instant.now()));
   }
 
   CacheEvents cacheEvents(int rank, long fromSequence) {
-    return with(rank, engine -> engine.cacheEvents(fromSequence, Instant.now()));
+    return withRank(rank, engine -> engine.cacheEvents(fromSequence, Instant.now()));
   }
 
   EngineState state(int rank) {
-    return with(rank, EngineRank::state);
+    return withRank(rank, EngineRank::state);
   }
 
   EngineState order(int rank, EngineOrder order) {
-    return with(rank, engine -> engine.order(order));
+    return withRank(rank, engine -> engine.order(order));
   }
 
   RankState orderRank(int rank, RankOrder order) {
@@ -141,19 +148,19 @@
           map.committedStep(),
           map.map(),
           popularity.shares(now).stream().map(share -> share * tokens).toList(),
-          partMillis(rank, popularity.shares(now)));
+          rankStepMillis(rank, popularity.shares(now)));
     }
   }
 
   void restart(int rank) {
     synchronized (lock) {
-      ranks.get(rank).restart(newStart());
+      ranks.get(rank).restart(newEngineStart());
       lock.notifyAll();
     }
   }
 
   Set<String> startedStreamIds(int rank) {
-    return with(rank, engine -> new TreeSet<>(engine.startedStreamIds()));
+    return withRank(rank, engine -> new TreeSet<>(engine.startedStreamIds()));
   }
 
   Audit audit() {
@@ -168,7 +175,7 @@
     }
   }
 
-  private <T> T with(int rank, Function<EngineRank, T> action) {
+  private <T> T withRank(int rank, Function<EngineRank, T> action) {
     synchronized (lock) {
       T result = action.apply(ranks.get(rank));
       lock.notifyAll();
@@ -176,17 +183,17 @@
     }
   }
 
-  private static long newStart() {
+  private static long newEngineStart() {
     return ThreadLocalRandom.current().nextLong(1, Long.MAX_VALUE);
   }
 
   private void runSteps() {
     try {
-      long due = System.nanoTime();
+      long dueNanos = System.nanoTime();
       while (beginStep()) {
-        // After a pause, steps go on from now: they are not caught up.
-        due = Math.max(due, System.nanoTime() - 1_000_000) + stepNanos();
-        sleepUntil(due);
+        // Steps that were missed during a pause are not made up for.
+        dueNanos = Math.max(dueNanos, System.nanoTime() - 1_000_000) + stepNanos();
+        sleepUntil(dueNanos);
         finishStep();
       }
     } catch (InterruptedException e) {
@@ -213,8 +220,8 @@
     }
   }
 
-  // A single engine without work sleeps. A group steps on, as real groups do, so that a switch of
-  // the map that waits for a step comes to its end.
+  // A single engine without work sleeps. A group keeps stepping as real groups do, because a map
+  // switch completes only when a given step is reached.
   private void awaitWork() throws InterruptedException {
     while (!closed && ranks.size() == 1 && ranks.get(0).idle()) {
       lock.wait(IDLE_WAIT_MILLIS);
@@ -232,7 +239,7 @@
       return;
     }
     mixedStepCount++;
-    if (mixedSteps.size() < RECORDED_MIXED_STEPS) {
+    if (mixedSteps.size() < MAXIMUM_RECORDED_MIXED_STEPS) {
       mixedSteps.add(new MixedStep(step, versions));
     }
   }
@@ -250,22 +257,24 @@
       List<Double> shares = popularity.shares(Instant.now());
       double slowest =
           IntStream.range(0, ranks.size())
-              .mapToDouble(rank -> partMillis(rank, shares))
+              .mapToDouble(rank -> rankStepMillis(rank, shares))
               .max()
               .orElseThrow();
       return (long) (slowest * 1e6);
     }
   }
 
-  private double partMillis(int rank, List<Double> shares) {
-    double even = shareOf(rank, shares) * ranks.size();
+  private double rankStepMillis(int rank, List<Double> shares) {
+    double relativeLoad = tokenShareOf(rank, shares) * ranks.size();
     Faults rankFaults = faults.get(rank).current();
     double factor = rankFaults.slowFactor() > 0 ? rankFaults.slowFactor() : 1;
-    return options.stepMillis() * factor * (1 - EXPERT_SHARE_OF_STEP + EXPERT_SHARE_OF_STEP * even);
+    return options.stepMillis()
+        * factor
+        * (1 - EXPERT_SHARE_OF_STEP + EXPERT_SHARE_OF_STEP * relativeLoad);
   }
 
-  /** This rank's share of the tokens: replicas of an expert share its tokens evenly. */
-  private double shareOf(int rank, List<Double> shares) {
+  /** Returns this rank's share of the tokens; replicas of an expert share its tokens evenly. */
+  private double tokenShareOf(int rank, List<Double> shares) {
     byte[] bytes = ranks.get(rank).map().map();
     int slots = slots(options);
     if (bytes.length != 2 * ranks.size() * slots) {
@@ -273,9 +282,9 @@
     }
     ExpertMap map = ExpertMap.fromBytes(1, ranks.size(), slots, bytes);
     int[] replicas = new int[shares.size()];
-    for (int holder = 0; holder < ranks.size(); holder++) {
+    for (int replicaRank = 0; replicaRank < ranks.size(); replicaRank++) {
       for (int slot = 0; slot < map.slots(); slot++) {
-        replicas[map.expert(0, holder, slot)]++;
+        replicas[map.expert(0, replicaRank, slot)]++;
       }
     }
     return IntStream.range(0, map.slots())
@@ -284,13 +293,13 @@
         .sum();
   }
 
-  /** One slot a rank more than the experts need, for replicas. */
+  /** Returns the slots per rank: one more than the experts need, for replicas. */
   private static int slots(EngineOptions options) {
     return (options.experts() + options.ranks() - 1) / options.ranks() + 1;
   }
 
-  private static void sleepUntil(long due) throws InterruptedException {
-    long left = due - System.nanoTime();
+  private static void sleepUntil(long dueNanos) throws InterruptedException {
+    long left = dueNanos - System.nanoTime();
     if (left > 0) {
       Thread.sleep(left / 1_000_000, (int) (left % 1_000_000));
     }
--- a/standins/src/main/java/dev/ibishub/standins/EngineOptions.java
+++ b/standins/src/main/java/dev/ibishub/standins/EngineOptions.java
@@ -3,24 +3,26 @@
 import java.util.List;
 
 /**
- * How an engine stand-in behaves.
+ * Options of an engine stand-in.
  *
  * @param group name of the group of ranks, or empty
- * @param ranks how many ranks the group has
- * @param experts how many experts a layer has
- * @param served what each rank serves at the start, as in {@code EngineState}
- * @param stepMillis a step's time where load is even, milliseconds
- * @param batchLimit the most answers in a rank's batch
- * @param tokensPerStep tokens of each answer a step, sent as one piece
- * @param prefillTokensPerStep tokens of a prompt read in a step
- * @param cachedPrefixes how many prefixes a rank's cache holds
- * @param cacheEventLagMillis how late cache events show, milliseconds
- * @param cacheEventGapEvery one of this many cache events is never shown, 0 for none
- * @param loadLagMillis how old the reported load is, milliseconds
- * @param resumes whether a broken answer goes on and can be joined again
+ * @param ranks number of ranks in the group
+ * @param experts number of experts per layer
+ * @param served what each rank has loaded at the start, written as in {@code EngineState}
+ * @param stepMillis duration of a step under even load, in milliseconds
+ * @param batchLimit maximum number of answers in a rank's batch
+ * @param tokensPerStep tokens that a step generates for each answer, sent as one piece
+ * @param prefillTokensPerStep prompt tokens that a step prefills
+ * @param cachedPrefixes number of prefixes that a rank's cache holds
+ * @param cacheEventLagMillis delay after which cache events become visible, in milliseconds
+ * @param cacheEventGapEvery one in this many cache events is lost, 0 for none
+ * @param loadLagMillis staleness of the reported load, in milliseconds
+ * @param resumes whether generation continues after a broken connection and the stream can be
+ *     resumed
  * @param checksFencing whether orders with an old fencing token are refused
- * @param orderMillis how long an order takes, milliseconds
- * @param driftSeconds how long the popularity of experts takes to come round, seconds
+ * @param orderMillis duration of an order, in milliseconds
+ * @param driftSeconds period in which the most popular expert moves once through all experts, in
+ *     seconds
  */
 record EngineOptions(
     String group,
