--- a/standins/src/main/java/dev/ibishub/standins/EngineRank.java
+++ b/standins/src/main/java/dev/ibishub/standins/EngineRank.java
@@ -23,21 +23,21 @@
 import java.util.TreeSet;
 
 /**
- * One rank: its batch, its prefix cache and what it has loaded. Not thread-safe: the group's lock
- * guards it.
+ * One rank of an engine group: its queue and batch, its prefix cache and what it has loaded. Not
+ * thread-safe: the group's lock guards it.
  */
 final class EngineRank {
-  private static final int KEPT_STREAMS = 20_000;
+  private static final int MAXIMUM_KEPT_STREAMS = 20_000;
   private static final int CHARACTERS_PER_TOKEN = 4;
   private static final long THROUGHPUT_WINDOW_MILLIS = 1000;
 
   private final EngineOptions options;
   private final RankMap map;
   private final PrefixCache cache;
-  private final TreeSet<Waiting> waiting =
+  private final TreeSet<QueuedStream> waiting =
       new TreeSet<>(
-          Comparator.comparingInt((Waiting entry) -> -entry.stream().call().priority())
-              .thenComparingLong(Waiting::arrival));
+          Comparator.comparingInt((QueuedStream entry) -> -entry.stream().call().priority())
+              .thenComparingLong(QueuedStream::arrival));
   private final List<GeneratedStream> running = new ArrayList<>();
   private final Map<String, GeneratedStream> streams = new LinkedHashMap<>();
   private final Set<String> startedStreamIds = new HashSet<>();
@@ -50,7 +50,7 @@
   private long highestFencingToken;
   private String lastOrderId = "";
 
-  private record Waiting(GeneratedStream stream, long arrival) {}
+  private record QueuedStream(GeneratedStream stream, long arrival) {}
 
   private record StepTokens(Instant at, int tokens) {}
 
@@ -83,14 +83,18 @@
     if (!startedStreamIds.add(call.streamId())) {
       throw new ResultException(ResultCode.ALREADY_RUNNING, "stream id was used before");
     }
-    GeneratedStream stream = streamOf(call);
+    GeneratedStream stream = newStream(call);
     streams.put(call.streamId(), stream);
     dropOldestFinished();
-    waiting.add(new Waiting(stream, arrivals++));
+    waiting.add(new QueuedStream(stream, arrivals++));
     return stream;
   }
 
-  /** Finds an answer to join again. */
+  /**
+   * Returns the answer to resume.
+   *
+   * @throws ResultException when the engine cannot resume or doesn't know the stream
+   */
   GeneratedStream find(String streamId) {
     GeneratedStream stream = streams.get(streamId);
     if (!options.resumes() || stream == null) {
@@ -106,7 +110,7 @@
     }
   }
 
-  /** Runs one step of the batch. */
+  /** Runs one step: admits waiting answers to the batch, then advances each answer in it. */
   void step(Instant now) {
     waiting.removeIf(entry -> entry.stream().finished());
     while (running.size() < options.batchLimit() && !waiting.isEmpty()) {
@@ -123,13 +127,13 @@
     return recentTokens.stream().mapToInt(StepTokens::tokens).sum();
   }
 
-  /** Notes the load as it is now, to be reported after the lag. */
+  /** Records the current load, which is reported after the lag. */
   void sampleLoad(Instant now) {
     loads.add(
         new EngineLoad(
             running.size(), waiting.size(), options.batchLimit(), tokensPerSecond(now), now));
-    Instant shown = now.minusMillis(options.loadLagMillis());
-    while (loads.size() > 1 && secondLoad().measuredAt().compareTo(shown) <= 0) {
+    Instant visibleUntil = now.minusMillis(options.loadLagMillis());
+    while (loads.size() > 1 && secondOldestLoad().measuredAt().compareTo(visibleUntil) <= 0) {
       loads.removeFirst();
     }
   }
@@ -173,7 +177,10 @@
     return state();
   }
 
-  /** Ends every answer and forgets all but what the disk image serves, as after a crash. */
+  /**
+   * Cancels every answer and resets the state to that of the start, as a crash and restart does.
+   * Only what the options name as served is loaded afterwards.
+   */
   void restart(long nextStart) {
     engineStart = nextStart;
     streams.values().forEach(GeneratedStream::cancel);
@@ -187,7 +194,7 @@
     map.reset();
   }
 
-  private EngineLoad secondLoad() {
+  private EngineLoad secondOldestLoad() {
     return loads.stream().skip(1).findFirst().orElseThrow();
   }
 
@@ -203,7 +210,7 @@
     return adapter.isEmpty() ? versioned : model + "+" + adapter;
   }
 
-  private GeneratedStream streamOf(GenerationCall call) {
+  private GeneratedStream newStream(GenerationCall call) {
     JsonNode body = bodyOf(call);
     List<String> tokens = ExpectedAnswer.tokens(call.model(), body);
     int count = call.maximumTokens() > 0 ? call.maximumTokens() : tokens.size();
@@ -225,9 +232,9 @@
 
   private void admit(GeneratedStream stream, Instant now) {
     String prompt = ExpectedAnswer.promptOf(bodyOf(stream.call()));
-    int missing = prompt.length() - cache.admit(prompt, now);
+    int uncachedCharacters = prompt.length() - cache.admit(prompt, now);
     int charactersPerStep = options.prefillTokensPerStep() * CHARACTERS_PER_TOKEN;
-    stream.setPrefillSteps(missing / charactersPerStep);
+    stream.setPrefillSteps(uncachedCharacters / charactersPerStep);
     running.add(stream);
   }
 
@@ -239,7 +246,7 @@
   }
 
   private void dropOldestFinished() {
-    if (streams.size() > KEPT_STREAMS) {
+    if (streams.size() > MAXIMUM_KEPT_STREAMS) {
       streams.values().stream()
           .filter(GeneratedStream::finished)
           .findFirst()
--- a/standins/src/main/java/dev/ibishub/standins/GeneratedStream.java
+++ b/standins/src/main/java/dev/ibishub/standins/GeneratedStream.java
@@ -5,7 +5,10 @@
 import java.util.List;
 import java.util.Optional;
 
-/** One answer as it is generated, with all its pieces kept for joining again. Thread-safe. */
+/**
+ * An answer that is generated piece by piece and keeps all its pieces, so that a client can resume
+ * it. Thread-safe.
+ */
 final class GeneratedStream {
   private final GenerationCall call;
   private final List<String> tokens;
@@ -13,13 +16,14 @@
   private final long promptTokens;
   private long pieces;
   private GenerationEnd end;
-  // Guarded by the rank's lock.
+  // Guarded by the group's lock, not by this object's.
   private long prefillStepsLeft;
 
   /**
    * Creates an answer of which nothing is generated yet.
    *
-   * @param tokens all that will be generated
+   * @param tokens all tokens that will be generated
+   * @param tokensPerPiece number of tokens in a piece, and in a step
    */
   GeneratedStream(GenerationCall call, List<String> tokens, int tokensPerPiece, long promptTokens) {
     this.call = call;
@@ -36,7 +40,7 @@
     prefillStepsLeft = steps;
   }
 
-  /** Goes on by one step and returns how many tokens that gave. */
+  /** Runs one step and returns the number of tokens that it generated; 0 during prefill. */
   int advance() {
     if (prefillStepsLeft > 0) {
       prefillStepsLeft--;
@@ -63,7 +67,7 @@
     return Optional.ofNullable(end);
   }
 
-  /** Waits until the piece is there; empty when the answer ended before it. */
+  /** Waits for the piece with the given number; empty when the answer ends before it. */
   synchronized Optional<String> awaitPiece(long number) throws InterruptedException {
     while (pieces <= number && end == null) {
       wait();
