--- a/standins/src/main/java/dev/ibishub/standins/PrefixCache.java
+++ b/standins/src/main/java/dev/ibishub/standins/PrefixCache.java
@@ -11,11 +11,13 @@
 import java.util.Map;
 
 /**
- * A rank's cache of prompt prefixes, the least recently used going first, with its events, which
- * show late and with gaps. Not thread-safe: the rank's lock guards it.
+ * A rank's LRU cache of prompt prefixes and its events, which become visible with a lag and with
+ * gaps.
+ *
+ * <p>Not thread-safe: the group's lock guards it.
  */
 final class PrefixCache {
-  private static final int KEPT_EVENTS = 10_000;
+  private static final int MAXIMUM_EVENTS = 10_000;
 
   private final EngineOptions options;
   private final LinkedHashMap<Long, Boolean> prefixes = new LinkedHashMap<>(16, 0.75f, true);
@@ -28,7 +30,10 @@
     this.options = options;
   }
 
-  /** Takes a prompt in and returns how many of its first characters were cached already. */
+  /**
+   * Caches the prefixes of a prompt and returns how many of its first characters were cached
+   * before.
+   */
   int admit(String prompt, Instant now) {
     List<Integer> lengths = PromptPrefix.lengths(prompt);
     int hit =
@@ -36,7 +41,7 @@
             .filter(length -> prefixes.containsKey(PromptPrefix.hash(prompt, length)))
             .max(Integer::compare)
             .orElse(0);
-    // The shortest last: it is the one shared by most prompts, and so the last to be evicted.
+    // The shortest prefix is added last: most prompts share it, so it should be evicted last.
     lengths.stream()
         .sorted(Collections.reverseOrder())
         .forEach(length -> add(PromptPrefix.hash(prompt, length), now));
@@ -76,7 +81,7 @@
     }
     Instant visibleAt = now.plusMillis(options.cacheEventLagMillis());
     events.add(new TimedEvent(visibleAt, new CacheEvents.Event(sequence, prefix, added)));
-    if (events.size() > KEPT_EVENTS) {
+    if (events.size() > MAXIMUM_EVENTS) {
       events.removeFirst();
     }
   }
--- a/standins/src/main/java/dev/ibishub/standins/RankMap.java
+++ b/standins/src/main/java/dev/ibishub/standins/RankMap.java
@@ -5,14 +5,15 @@
 import dev.ibishub.engines.RankOrder;
 
 /**
- * The expert map of one rank: what is staged, held and committed. It does what it is told, as a
- * real engine does; keeping the ranks of a group together is the leader's and the agents' work. Not
- * thread-safe: the group's lock guards it.
+ * The expert map of one rank with its staged and committed successors and its hold.
+ *
+ * <p>It obeys each order on its own, as a real engine does; keeping the ranks of a group consistent
+ * is the task of the leader and the agents. Not thread-safe: the group's lock guards it.
  */
 final class RankMap {
   private final boolean checksFencing;
   private long highestFencingToken;
-  private boolean lostMemory;
+  private boolean needsCommit;
   private long version = 1;
   private byte[] map;
   private long stagedVersion;
@@ -51,12 +52,15 @@
     return committedStep;
   }
 
-  /** Whether this rank may begin a step. */
+  /** Returns whether this rank may begin the given step. */
   boolean canBegin(long step) {
-    return !lostMemory && (holdStep == 0 || step < holdStep);
+    return !needsCommit && (holdStep == 0 || step < holdStep);
   }
 
-  /** Begins a step and returns the version of the map that it uses. */
+  /**
+   * Begins a step, which activates a committed map that is due, and returns the version of the map
+   * that the step uses.
+   */
   long begin(long step) {
     if (committedVersion != 0 && step >= committedStep) {
       version = committedVersion;
@@ -67,9 +71,12 @@
     return version;
   }
 
-  /** Forgets all, as a rank that died and came back. It waits for a committed map. */
+  /**
+   * Clears all state, as a crash and restart of the rank does. No step begins until a map is
+   * committed.
+   */
   void reset() {
-    lostMemory = true;
+    needsCommit = true;
     highestFencingToken = 0;
     version = 0;
     map = new byte[0];
@@ -122,10 +129,11 @@
     committedMap = stagedMap;
     committedStep = order.step();
     endHold(order.step());
-    lostMemory = false;
+    needsCommit = false;
   }
 
-  // Only the hold of that step: a rank that joins gets the map in use while it holds a later step.
+  // Ends only the hold of this step: a joining rank is given the map in use while it holds a later
+  // step.
   private void endHold(long step) {
     if (holdStep == step) {
       holdStep = 0;
