--- a/standins/src/main/java/dev/ibishub/standins/EngineStandIn.java
+++ b/standins/src/main/java/dev/ibishub/standins/EngineStandIn.java
@@ -12,7 +12,7 @@
 import java.util.OptionalInt;
 import java.util.Set;
 
-/** The HTTP face of one rank. Thread-safe. */
+/** Serves the HTTP interface of one rank. Thread-safe. */
 final class EngineStandIn {
   private static final String STREAMS = "/v1/streams/";
 
@@ -21,7 +21,7 @@
   private final EngineOptions options;
   private final FaultInjector faults;
 
-  /** What {@code GET /control/streams} tells: each stream id that ever started here. */
+  /** The answer to {@code GET /control/streams}: every stream id that ever started on this rank. */
   record StreamAudit(int count, Set<String> started) {}
 
   EngineStandIn(EngineGroup group, int rank, EngineOptions options, FaultInjector faults) {
--- a/standins/src/main/java/dev/ibishub/standins/LogStandIn.java
+++ b/standins/src/main/java/dev/ibishub/standins/LogStandIn.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The append-only log. Thread-safe: one lock over all streams. */
+/** The append-only log. Thread-safe: one lock guards all streams. */
 final class LogStandIn {
   private static final String PREFIX = "/v1/streams/";
   private static final String SUFFIX = "/records";
@@ -22,16 +22,16 @@
   private final Object lock = new Object();
   private final Map<String, Stream> streams = new HashMap<>();
   private final Options options;
-  private Instant nextAppend = Instant.MIN;
+  private Instant theoreticalArrival = Instant.MIN;
   private long refusedByRate;
 
   /**
    * Limits of the log.
    *
-   * @param retainedRecords how many records a stream keeps
-   * @param retainedMillis how long a record is kept, milliseconds
-   * @param appendsPerSecond the most appends a second over all streams
-   * @param burst how many appends may come at once
+   * @param retainedRecords maximum number of records that a stream keeps
+   * @param retainedMillis retention time of a record, in milliseconds
+   * @param appendsPerSecond maximum rate of appends per second, over all streams
+   * @param burst number of appends that may come at once
    */
   record Options(int retainedRecords, long retainedMillis, int appendsPerSecond, int burst) {
     static Options defaults() {
@@ -48,7 +48,10 @@
     }
   }
 
-  /** What {@code GET /control/log} tells. */
+  /**
+   * The answer to {@code GET /control/log}: the number of records ever appended to each stream, and
+   * of appends that the rate limit refused.
+   */
   record Audit(Map<String, Long> appended, long refusedByRate) {}
 
   LogStandIn(Options options) {
@@ -86,17 +89,18 @@
     }
   }
 
-  // The generic cell rate algorithm: each append moves the theoretical time of the next one on.
+  // Generic cell rate algorithm: each append moves the theoretical arrival time of the next one by
+  // one interval.
   private void admit(Instant now) {
     Duration interval = Duration.ofSeconds(1).dividedBy(options.appendsPerSecond());
-    Instant due = nextAppend.isBefore(now) ? now : nextAppend;
+    Instant due = theoreticalArrival.isBefore(now) ? now : theoreticalArrival;
     Instant allowedAt = due.minus(interval.multipliedBy(options.burst()));
     if (allowedAt.isAfter(now)) {
       refusedByRate++;
       throw new ResultException(
           ResultCode.LOG_UNAVAILABLE, "append rate limit", allowedAt.plusMillis(1));
     }
-    nextAppend = due.plus(interval);
+    theoreticalArrival = due.plus(interval);
   }
 
   private LogPage read(String name, long from, int maximum, Instant waitUntil)
--- a/standins/src/main/java/dev/ibishub/standins/ServiceStandIn.java
+++ b/standins/src/main/java/dev/ibishub/standins/ServiceStandIn.java
@@ -9,22 +9,25 @@
 import java.util.TreeMap;
 
 /**
- * A plain service that echoes each call and keeps a record of every one it ran, so that an audit
- * can count executions. Thread-safe.
+ * A plain service that echoes each call and records its execution, so that an audit can count
+ * executions. Thread-safe.
  */
 final class ServiceStandIn {
   private final Object lock = new Object();
   private final List<Execution> executions = new ArrayList<>();
   private final long delayMillis;
 
-  /** One call that ran. */
+  /** One executed call. */
   record Execution(
       String requestId, String idempotencyKey, String method, String path, Instant ranAt) {}
 
-  /** What {@code GET /control/executions} tells; the map counts the executions of each key. */
+  /**
+   * The answer to {@code GET /control/executions}; the map counts the executions of each
+   * idempotency key.
+   */
   record Audit(int count, Map<String, Integer> byKey, List<Execution> executions) {}
 
-  /** The echo. */
+  /** The answer to a call: the call itself and the number of executions so far. */
   record Echo(String method, String path, String body, int count) {}
 
   ServiceStandIn(long delayMillis) {
--- a/standins/src/main/java/dev/ibishub/standins/VirtualMachineListStandIn.java
+++ b/standins/src/main/java/dev/ibishub/standins/VirtualMachineListStandIn.java
@@ -8,7 +8,9 @@
 import java.util.Deque;
 import java.util.List;
 
-/** The platform's VM list, which shows a change only after a lag. Thread-safe under its lock. */
+/**
+ * The platform's VM list, which shows a change only after a lag. Thread-safe under its own lock.
+ */
 final class VirtualMachineListStandIn {
   private final Object lock = new Object();
   private final Deque<Change> changes = new ArrayDeque<>();
--- a/standins/src/main/java/dev/ibishub/standins/WeightStoreStandIn.java
+++ b/standins/src/main/java/dev/ibishub/standins/WeightStoreStandIn.java
@@ -7,7 +7,10 @@
 import java.time.Duration;
 import java.time.Instant;
 
-/** The rate-limited weight store: one fetch at a time, each as long as its bytes take. */
+/**
+ * The rate-limited weight store: one fetch runs at a time and takes as long as its bytes need at
+ * the configured rate. Thread-safe under its own lock.
+ */
 final class WeightStoreStandIn {
   private final Object lock = new Object();
   private final double bytesPerSecond;
@@ -16,7 +19,7 @@
   private long grantedBytes;
   private long refused;
 
-  /** What {@code GET /control/reservations} tells. */
+  /** The answer to {@code GET /control/reservations}. */
   record Audit(long grantedReservations, long grantedBytes, long refused) {}
 
   WeightStoreStandIn(double bytesPerSecond) {
