--- a/standins/src/main/java/dev/ibishub/standins/RunningStandIn.java
+++ b/standins/src/main/java/dev/ibishub/standins/RunningStandIn.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * A stand-in that listens.
+ * A stand-in whose servers are listening.
  *
- * @param servers one for each port
+ * @param servers one server per port
  * @param onClose stops what runs behind the servers
  */
 record RunningStandIn(List<StandInServer> servers, Runnable onClose) implements AutoCloseable {
--- a/standins/src/main/java/dev/ibishub/standins/StandInMain.java
+++ b/standins/src/main/java/dev/ibishub/standins/StandInMain.java
@@ -10,8 +10,8 @@
 import joptsimple.OptionSet;
 
 /**
- * The program {@code ibishub-standin}: runs one stand-in until it is stopped, and prints {@code
- * ready KIND HOST:PORT} for each port on which it listens.
+ * The program {@code ibishub-standin}: runs one stand-in until the process is stopped, and prints
+ * {@code ready KIND HOST:PORT} for each port on which it listens.
  */
 public final class StandInMain {
   private static final String USAGE =
@@ -23,7 +23,7 @@
   /**
    * Starts the stand-in that the first argument names.
    *
-   * @throws IOException when its port cannot be had
+   * @throws IOException when its port cannot be bound
    */
   public static void main(String[] arguments) throws IOException {
     if (arguments.length == 0) {
@@ -49,7 +49,7 @@
     }
   }
 
-  /** Starts a stand-in. */
+  /** Starts a stand-in of the given kind. */
   static RunningStandIn start(String kind, OptionSet options) throws IOException {
     if (kind.equals("engine")) {
       return startEngine(options);
@@ -91,13 +91,13 @@
     List<StandInServer> servers = new ArrayList<>();
     for (int rank = 0; rank < engine.ranks(); rank++) {
       FaultInjector rankFaults = faults.get(rank);
-      EngineStandIn face = new EngineStandIn(group, rank, engine, rankFaults);
-      servers.add(listen(options, rank, rankFaults, face::handle));
+      EngineStandIn standIn = new EngineStandIn(group, rank, engine, rankFaults);
+      servers.add(listen(options, rank, rankFaults, standIn::handle));
     }
     return new RunningStandIn(servers, group::close);
   }
 
-  // Ranks listen on consecutive ports, or each on any free one.
+  // Ranks listen on consecutive ports, or each on any free one when the port is 0.
   private static StandInServer listen(
       OptionSet options, int rank, FaultInjector faults, StandInServer.Handler handler)
       throws IOException {
--- a/standins/src/main/java/dev/ibishub/standins/StandInOptions.java
+++ b/standins/src/main/java/dev/ibishub/standins/StandInOptions.java
@@ -4,7 +4,7 @@
 import joptsimple.OptionParser;
 import joptsimple.OptionSet;
 
-/** The command-line options of each stand-in. */
+/** Defines and reads the command-line options of each stand-in. */
 final class StandInOptions {
   private StandInOptions() {}
 
--- a/standins/src/main/java/dev/ibishub/standins/StandInReply.java
+++ b/standins/src/main/java/dev/ibishub/standins/StandInReply.java
@@ -9,11 +9,11 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** A stand-in's answer: bytes, or a body written as it comes. */
-@SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
+/** A stand-in's HTTP response: a complete body, or one that is written incrementally. */
+@SuppressWarnings("ArrayRecordComponent") // Passed on, never compared or hashed.
 record StandInReply(
     int status, Map<String, String> headers, byte[] body, Optional<BodyWriter> writer) {
-  /** Writes a body as it comes. */
+  /** Writes a response body incrementally. */
   @FunctionalInterface
   interface BodyWriter {
     void write(OutputStream out) throws IOException, InterruptedException;
@@ -31,7 +31,7 @@
     return new StandInReply(200, Map.of(), new byte[0], Optional.of(writer));
   }
 
-  /** The same answer with one more header. */
+  /** Returns this response with one more header. */
   StandInReply withHeader(String name, String value) {
     Map<String, String> more = new HashMap<>(headers);
     more.put(name, value);
--- a/standins/src/main/java/dev/ibishub/standins/StandInRequest.java
+++ b/standins/src/main/java/dev/ibishub/standins/StandInRequest.java
@@ -9,8 +9,8 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-/** A request to a stand-in, read whole. */
-@SuppressWarnings("ArrayRecordComponent") // Handed on, never compared or hashed.
+/** An HTTP request to a stand-in, with its complete body. */
+@SuppressWarnings("ArrayRecordComponent") // Passed on, never compared or hashed.
 record StandInRequest(String method, URI uri, Headers headers, byte[] body) {
   String path() {
     return uri.getPath();
--- a/standins/src/main/java/dev/ibishub/standins/StandInServer.java
+++ b/standins/src/main/java/dev/ibishub/standins/StandInServer.java
@@ -13,27 +13,28 @@
 import java.util.concurrent.Executors;
 
 /**
- * The HTTP server of one stand-in: it applies the injected faults, then asks the stand-in. Calls
- * under {@code /control/} meet no faults. Thread-safe.
+ * The HTTP server of one stand-in, which applies injected faults before and after the stand-in
+ * handles a call. Calls under {@code /control/} are exempt from faults. Thread-safe.
  */
 public final class StandInServer implements AutoCloseable {
   static {
-    // Read when the JDK's server first loads. Without nodelay, Nagle's algorithm and delayed
-    // acknowledgement hold each small piece of a stream back for some 40 ms.
+    // The JDK's server reads these properties when it is first loaded. Without nodelay, Nagle's
+    // algorithm and delayed acknowledgements hold each small piece of a stream back for about 40
+    // ms.
     System.setProperty("sun.net.httpserver.nodelay", "true");
-    // Beyond this many idle connections the server closes one that a client may be writing to.
+    // Above this number of idle connections the server closes one to which a client may be writing.
     System.setProperty("sun.net.httpserver.maxIdleConnections", "10000");
   }
 
   private static final int BACKLOG = 1024;
-  private static final Duration OUTAGE_RETRY = Duration.ofMillis(200);
+  private static final Duration OUTAGE_RETRY_AFTER = Duration.ofMillis(200);
 
   private final HttpServer server;
   private final ExecutorService executor;
   private final FaultInjector faults;
   private final Handler handler;
 
-  /** Answers requests. */
+  /** Handles the requests to one stand-in. */
   @FunctionalInterface
   interface Handler {
     StandInReply handle(StandInRequest request) throws IOException, InterruptedException;
@@ -48,7 +49,7 @@
   }
 
   /**
-   * Starts listening.
+   * Starts a server that listens on the given address.
    *
    * @param port the port, 0 for any free one
    */
@@ -73,9 +74,9 @@
     executor.shutdownNow();
   }
 
-  // An exception that leaves this method closes the connection at once, without the last chunk of a
-  // body: the caller sees the answer cut, as when the process dies. Closing the exchange instead
-  // would end the body in good order.
+  // An exception thrown from this method closes the connection at once, without the final chunk of
+  // the body, so the client sees a truncated answer as when the process dies. Closing the exchange
+  // would end the body normally.
   private void serve(HttpExchange exchange) throws IOException {
     StandInRequest request =
         new StandInRequest(
@@ -88,7 +89,7 @@
         answer(exchange, control(request));
         return;
       }
-      StandInReply reply = replyUnderFaults(request);
+      StandInReply reply = replyWithFaults(request);
       if (!request.method().equals("GET") && faults.consumeLostAnswer()) {
         throw new IOException("answer lost by an injected fault");
       }
@@ -99,13 +100,13 @@
     }
   }
 
-  private StandInReply replyUnderFaults(StandInRequest request)
+  private StandInReply replyWithFaults(StandInRequest request)
       throws IOException, InterruptedException {
     faults.awaitUnfrozen();
     Thread.sleep(faults.current().slowMillis());
     if (faults.current().outage()) {
       return StandInReply.refusal(
-          ResultCode.LOG_UNAVAILABLE, "outage injected", OUTAGE_RETRY.toMillis());
+          ResultCode.LOG_UNAVAILABLE, "outage injected", OUTAGE_RETRY_AFTER.toMillis());
     }
     return reply(request);
   }
--- a/standins/src/main/java/dev/ibishub/standins/package-info.java
+++ b/standins/src/main/java/dev/ibishub/standins/package-info.java
@@ -1,2 +1,4 @@
-/** Stand-ins for what surrounds the system, and the load tool. Not shipped. */
+/**
+ * Stand-ins for the outside systems around ibishub's own interface, and the load tool. Not shipped.
+ */
 package dev.ibishub.standins;
