--- a/standins/src/test/java/dev/ibishub/standins/AppendOnlyLogTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/AppendOnlyLogTest.java
@@ -21,7 +21,7 @@
   private static final String STREAM = "configuration/tbilisi";
 
   @Test
-  void offsetsGrowByOneInEachStream() throws Exception {
+  void incrementsOffsetsPerStream() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("log")) {
       AppendOnlyLog log = HttpAppendOnlyLog.create(fixture.base(), fixture.client());
       assertThat(log.append(STREAM, bytes("a")).join()).isEqualTo(0);
@@ -32,7 +32,7 @@
   }
 
   @Test
-  void retentionMovesTheFirstKeptRecord() throws Exception {
+  void advancesFirstKeptRecordByRetention() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("log", "--retained-records", "2")) {
       AppendOnlyLog log = HttpAppendOnlyLog.create(fixture.base(), fixture.client());
       List.of("a", "b", "c").forEach(text -> log.append(STREAM, bytes(text)).join());
@@ -44,7 +44,7 @@
   }
 
   @Test
-  void aReaderThatWaitsGetsTheRecordWhenItComes() throws Exception {
+  void completesWaitingReadWhenRecordIsAppended() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("log")) {
       AppendOnlyLog log = HttpAppendOnlyLog.create(fixture.base(), fixture.client());
       CompletableFuture<LogPage> waiting = log.read(STREAM, 0, 10, Instant.now().plusSeconds(60));
@@ -54,11 +54,11 @@
   }
 
   /**
-   * The log takes a record and its answer is lost on the way back. The operator sees "undecided";
-   * whoever appended blindly again would publish twice. Only reading tells.
+   * Guards against appending a record twice. The log appends the record but its answer is lost; the
+   * result must be "outcome unknown", and only a read shows the record.
    */
   @Test
-  void aLostAnswerIsUnknownAndTheRecordIsThere() throws Exception {
+  void reportsOutcomeUnknownWhenAnswerToAppendIsLost() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("log")) {
       AppendOnlyLog log = HttpAppendOnlyLog.create(fixture.base(), fixture.client());
       fixture.inject(Faults.none().withLoseNextAnswers(1));
@@ -68,11 +68,11 @@
   }
 
   /**
-   * The log is down for a while. The operator is told "not accepted"; when the log is back the
-   * record must not turn up after all.
+   * Guards against a refused record that appears later. During an outage the append is refused;
+   * after it the record must not be in the log.
    */
   @Test
-  void anOutageRefusesAndAppendsNothing() throws Exception {
+  void refusesAppendDuringOutageAndAppendsNothing() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("log")) {
       AppendOnlyLog log = HttpAppendOnlyLog.create(fixture.base(), fixture.client());
       fixture.inject(new Faults(true, false, 0, 0, 0, 0, 0));
@@ -85,24 +85,25 @@
   }
 
   @Test
-  void nobodyListeningIsUnavailable() throws Exception {
+  void reportsLogUnavailableWhenNothingListens() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("log")) {
-      AppendOnlyLog log = HttpAppendOnlyLog.create(StandInFixture.unusedAddress(), fixture.client());
+      AppendOnlyLog log =
+          HttpAppendOnlyLog.create(StandInFixture.unusedAddress(), fixture.client());
       assertThat(codeOf(log.append(STREAM, bytes("a")))).isEqualTo(ResultCode.LOG_UNAVAILABLE);
     }
   }
 
   @Test
-  void appendsBeyondTheRateAreRefusedAndNotAppended() throws Exception {
+  void refusesAppendsBeyondRateAndDoesNotAppendThem() throws Exception {
     try (StandInFixture fixture =
         StandInFixture.start("log", "--appends-per-second", "1", "--burst", "1")) {
       AppendOnlyLog log = HttpAppendOnlyLog.create(fixture.base(), fixture.client());
       List<CompletableFuture<Long>> appends =
           IntStream.range(0, 20).mapToObj(number -> log.append(STREAM, bytes("a"))).toList();
       List<ResultCode> codes = appends.stream().map(StandInFixture::codeOf).toList();
-      long taken = codes.stream().filter(ResultCode.OK::equals).count();
+      long accepted = codes.stream().filter(ResultCode.OK::equals).count();
       assertThat(codes).contains(ResultCode.LOG_UNAVAILABLE);
-      assertThat(read(log, 0).nextOffset()).isEqualTo(taken);
+      assertThat(read(log, 0).nextOffset()).isEqualTo(accepted);
     }
   }
 
--- a/standins/src/test/java/dev/ibishub/standins/ModelEngineTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/ModelEngineTest.java
@@ -20,56 +20,56 @@
   private final StringBuilder text = new StringBuilder();
 
   @Test
-  void anAnswerComesWholeAndInOrder() throws Exception {
+  void streamsWholeAnswerInOrder() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("engine", QUICK)) {
       GenerationCall call = call("a", "ibis", 20, 0);
-      GenerationEnd end = engine(fixture).generate(call, this::take).join();
+      GenerationEnd end = engine(fixture).generate(call, this::addPiece).join();
       assertThat(end.generatedTokens()).isEqualTo(20);
       assertThat(text).hasToString(expected(call));
     }
   }
 
   /**
-   * The engine's connection is cut in the middle of an answer. The pieces so far look like a short
-   * answer; without the end line they must be told as failed, and the rest be had by joining again.
+   * Guards against taking the pieces before a cut connection for a short answer. Without an end
+   * line the call must fail, and resuming must return the rest.
    */
   @Test
-  void aCutAnswerFailsAndGoesOnFromWhereItBroke() throws Exception {
+  void failsCutAnswerAndResumesWhereItBroke() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("engine", QUICK)) {
       fixture.inject(CUT_AFTER_THREE);
       GenerationCall call = call("a", "ibis", 20, 0);
-      assertThat(codeOf(engine(fixture).generate(call, this::take)))
+      assertThat(codeOf(engine(fixture).generate(call, this::addPiece)))
           .isEqualTo(ResultCode.ENGINE_FAILED);
-      engine(fixture).resume("a", 3, this::take).join();
+      engine(fixture).resume("a", 3, this::addPiece).join();
       assertThat(text).hasToString(expected(call));
     }
   }
 
   @Test
-  void anEngineThatCannotResumeSaysSo() throws Exception {
+  void refusesResumptionWhenEngineCannotResume() throws Exception {
     try (StandInFixture fixture =
         StandInFixture.start("engine", "--step-millis", "1", "--resume", "false")) {
       fixture.inject(CUT_AFTER_THREE);
-      assertThat(codeOf(engine(fixture).generate(call("a", "ibis", 20, 0), this::take)))
+      assertThat(codeOf(engine(fixture).generate(call("a", "ibis", 20, 0), this::addPiece)))
           .isEqualTo(ResultCode.ENGINE_FAILED);
-      assertThat(codeOf(engine(fixture).resume("a", 3, this::take)))
+      assertThat(codeOf(engine(fixture).resume("a", 3, this::addPiece)))
           .isEqualTo(ResultCode.STREAM_POSITION_LOST);
     }
   }
 
   @Test
-  void aStreamIdIsTakenOnce() throws Exception {
+  void refusesStreamIdThatWasUsedBefore() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("engine", QUICK)) {
-      engine(fixture).generate(call("a", "ibis", 2, 0), this::take).join();
-      assertThat(codeOf(engine(fixture).generate(call("a", "ibis", 2, 0), this::take)))
+      engine(fixture).generate(call("a", "ibis", 2, 0), this::addPiece).join();
+      assertThat(codeOf(engine(fixture).generate(call("a", "ibis", 2, 0), this::addPiece)))
           .isEqualTo(ResultCode.ALREADY_RUNNING);
     }
   }
 
   @Test
-  void aModelNotLoadedIsRefusedAndNothingStarts() throws Exception {
+  void refusesModelThatIsNotLoadedAndStartsNothing() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("engine", "--served", "coding")) {
-      assertThat(codeOf(engine(fixture).generate(call("a", "ibis", 2, 0), this::take)))
+      assertThat(codeOf(engine(fixture).generate(call("a", "ibis", 2, 0), this::addPiece)))
           .isEqualTo(ResultCode.UNKNOWN_MODEL);
       assertThat(fixture.audit("/control/streams", EngineStandIn.StreamAudit.class).started())
           .isEmpty();
@@ -77,16 +77,16 @@
   }
 
   @Test
-  void nobodyListeningSurelyDidNotTakeTheCall() throws Exception {
+  void reportsTargetUnreachableWhenNothingListens() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("engine", QUICK)) {
       ModelEngine engine = HttpModelEngine.create(StandInFixture.unusedAddress(), fixture.client());
-      assertThat(codeOf(engine.generate(call("a", "ibis", 2, 0), this::take)))
+      assertThat(codeOf(engine.generate(call("a", "ibis", 2, 0), this::addPiece)))
           .isEqualTo(ResultCode.TARGET_UNREACHABLE);
     }
   }
 
   @Test
-  void aCancelledAnswerEndsAsCancelled() throws Exception {
+  void endsCancelledAnswerAsCancelled() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("engine", QUICK)) {
       ModelEngine engine = engine(fixture);
       GenerationEnd end =
@@ -104,11 +104,11 @@
   }
 
   /**
-   * A leader that lost its lease while paused wakes and unloads a model that callers still use. An
-   * engine that checks fencing tokens refuses the old number.
+   * Guards against a deposed leader that resumes after a pause and unloads a model still in use. An
+   * engine that checks fencing tokens refuses its old token.
    */
   @Test
-  void anOldFencingTokenIsRefusedByAnEngineThatChecks() throws Exception {
+  void refusesOldFencingTokenWhenEngineChecks() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("engine", QUICK)) {
       engine(fixture).order(order("new", EngineOrder.Kind.LOAD, 7, "coding")).join();
       assertThat(codeOf(engine(fixture).order(order("old", EngineOrder.Kind.UNLOAD, 6, "coding"))))
@@ -118,7 +118,7 @@
   }
 
   @Test
-  void anOldFencingTokenIsObeyedByAnEngineThatIgnoresIt() throws Exception {
+  void obeysOldFencingTokenWhenEngineDoesNotCheck() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("engine", "--check-fencing", "false")) {
       engine(fixture).order(order("new", EngineOrder.Kind.LOAD, 7, "coding")).join();
       engine(fixture).order(order("old", EngineOrder.Kind.UNLOAD, 6, "coding")).join();
@@ -126,9 +126,12 @@
     }
   }
 
-  /** An order takes effect and its answer is lost: only reading the state tells that it did. */
+  /**
+   * An order takes effect but its answer is lost, so only the engine's state shows that it was
+   * carried out.
+   */
   @Test
-  void aLostAnswerToAnOrderIsUndecidedAndTheStateTells() throws Exception {
+  void reportsOrderUndecidedWhenAnswerIsLostAndStateShowsIt() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("engine", QUICK)) {
       fixture.inject(Faults.none().withLoseNextAnswers(1));
       assertThat(codeOf(engine(fixture).order(order("x", EngineOrder.Kind.LOAD, 1, "coding"))))
@@ -146,7 +149,7 @@
     return new EngineOrder(id, kind, fencingToken, model, "", "", "");
   }
 
-  private void take(long number, String piece) {
+  private void addPiece(long number, String piece) {
     text.append(piece);
   }
 }
--- a/standins/src/test/java/dev/ibishub/standins/SmallStandInsTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/SmallStandInsTest.java
@@ -26,7 +26,7 @@
       List.of(new VirtualMachine("entry-1", "entry", "vake", "127.0.0.1", 7001, true));
 
   @Test
-  void aServiceEchoesAndRecordsTheCall() throws Exception {
+  void echoesAndRecordsServiceCall() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("service")) {
       ServiceAnswer answer = service(fixture).call(request("POST")).join();
       ServiceStandIn.Echo echo = OutboundJson.read(answer.body(), ServiceStandIn.Echo.class);
@@ -39,11 +39,11 @@
   }
 
   /**
-   * An incentive is posted and the answer is lost. The panelist's app sees an error; were the call
-   * told as "not run", or sent again by the client by itself, the points would be posted twice.
+   * Guards against running a call twice. The service posts an incentive but its answer is lost:
+   * were the result "not run", or did the client retry by itself, the points would be posted twice.
    */
   @Test
-  void aLostAnswerOfAServiceIsUnknownAndRanOnce() throws Exception {
+  void reportsOutcomeUnknownAndRunsOnceWhenServiceAnswerIsLost() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("service")) {
       fixture.inject(Faults.none().withLoseNextAnswers(1));
       assertThat(codeOf(service(fixture).call(request("POST"))))
@@ -54,29 +54,30 @@
   }
 
   @Test
-  void aServiceThatDoesNotListenWasNotReached() throws Exception {
+  void reportsTargetUnreachableWhenServiceDoesNotListen() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("service")) {
-      PlainService service = HttpPlainService.create(StandInFixture.unusedAddress(), fixture.client());
+      PlainService service =
+          HttpPlainService.create(StandInFixture.unusedAddress(), fixture.client());
       assertThat(codeOf(service.call(request("POST")))).isEqualTo(ResultCode.TARGET_UNREACHABLE);
     }
   }
 
   @Test
-  void theListShowsItsMachines() throws Exception {
+  void listsMachinesAfterChange() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("vm-list")) {
       assertThat(readAfterChange(fixture)).isEqualTo(MACHINES);
     }
   }
 
   @Test
-  void aLaggingListStillShowsTheOldMachines() throws Exception {
+  void listsOldMachinesDuringLag() throws Exception {
     try (StandInFixture fixture = StandInFixture.start("vm-list", "--lag-millis", "3600000")) {
       assertThat(readAfterChange(fixture)).isEmpty();
     }
   }
 
   @Test
-  void theWeightStoreSaysWhenToComeBack() throws Exception {
+  void refusesReservationWithRetryTimeWhileFetchRuns() throws Exception {
     try (StandInFixture fixture =
         StandInFixture.start("weight-store", "--bytes-per-second", "1000")) {
       WeightStore store = HttpWeightStore.create(fixture.base(), fixture.client());
--- a/standins/src/test/java/dev/ibishub/standins/StandInFixture.java
+++ b/standins/src/test/java/dev/ibishub/standins/StandInFixture.java
@@ -19,7 +19,7 @@
 import java.util.concurrent.ExecutorService;
 import java.util.concurrent.Executors;
 
-/** A stand-in on free ports with a client for it. */
+/** A stand-in that listens on free ports, with an HTTP client for it. */
 final class StandInFixture implements AutoCloseable {
   private final RunningStandIn running;
   private final ExecutorService executor = Executors.newCachedThreadPool();
@@ -46,7 +46,7 @@
     return URI.create("http://127.0.0.1:" + running.address(rank).getPort());
   }
 
-  /** An address at which nothing listens. */
+  /** Returns an address at which no server listens. */
   static URI unusedAddress() throws IOException {
     try (ServerSocket socket = new ServerSocket(0)) {
       return URI.create("http://127.0.0.1:" + socket.getLocalPort());
@@ -69,7 +69,7 @@
     return OutboundJson.read(control("GET", path, new byte[0]), type);
   }
 
-  /** The result code with which a call fails; OK when it does not. */
+  /** Returns the result code with which a call fails, or {@code OK} when it succeeds. */
   static ResultCode codeOf(CompletableFuture<?> call) {
     return failureOf(call).code();
   }
