--- a/standins/src/test/java/dev/ibishub/standins/EngineGroupTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/EngineGroupTest.java
@@ -15,12 +15,12 @@
 
 class EngineGroupTest {
   private static final byte[] NEXT_MAP = {1, 1, 0, 0};
-  private static final int MOST_READS = 20_000;
-  private static final long AHEAD = 50;
+  private static final int MAXIMUM_READS = 20_000;
+  private static final long STEPS_AHEAD = 50;
 
-  /** Stage, hold and commit at every rank, as a careful leader does: no step mixes maps. */
+  /** A switch that is staged, held and committed at every rank mixes no maps in any step. */
   @Test
-  void aSwitchHeldAtEveryRankMixesNoMaps() throws Exception {
+  void mixesNoMapsWhenSwitchIsHeldAtEveryRank() throws Exception {
     try (StandInFixture fixture = group()) {
       List<ModelEngine> ranks = ranks(fixture);
       ranks.forEach(rank -> rank.orderRank(stage(2)).join());
@@ -34,11 +34,11 @@
   }
 
   /**
-   * A leader dies between its two commits and nobody holds the other rank. One rank goes on with
-   * the new map, the other with the old one; the audit must show it, or it would be no audit.
+   * Checks that the audit detects mixed maps. A leader dies between its two commits while the other
+   * rank isn't held, so one rank continues with the new map and the other with the old one.
    */
   @Test
-  void aSwitchAtOneRankAloneIsFoundByTheAudit() throws Exception {
+  void auditFindsSwitchAtOneRankAlone() throws Exception {
     try (StandInFixture fixture = group()) {
       List<ModelEngine> ranks = ranks(fixture);
       ranks.forEach(rank -> rank.orderRank(stage(2)).join());
@@ -50,9 +50,9 @@
     }
   }
 
-  /** All ranks step together: one rank held back holds back every other. */
+  /** Ranks run in lock-step, so a hold at one rank holds every other rank. */
   @Test
-  void aHeldRankHoldsTheGroupUntilReleased() throws Exception {
+  void holdsWholeGroupUntilHeldRankIsReleased() throws Exception {
     try (StandInFixture fixture = group()) {
       List<ModelEngine> ranks = ranks(fixture);
       ModelEngine first = ranks.get(0);
@@ -65,7 +65,7 @@
   }
 
   @Test
-  void aHoldOfABegunStepIsRefused() throws Exception {
+  void refusesHoldOfStepThatHasBegun() throws Exception {
     try (StandInFixture fixture = group()) {
       ModelEngine first = ranks(fixture).get(0);
       await(first, state -> state.step() >= 1);
@@ -74,7 +74,7 @@
   }
 
   @Test
-  void aCommitOfAMapNotStagedIsRefused() throws Exception {
+  void refusesCommitOfMapThatIsNotStaged() throws Exception {
     try (StandInFixture fixture = group()) {
       assertThat(codeOf(ranks(fixture).get(0).orderRank(commit(9, Long.MAX_VALUE))))
           .isEqualTo(ResultCode.MAP_NOT_STAGED);
@@ -82,11 +82,11 @@
   }
 
   /**
-   * A rank dies and comes back without memory while the group runs. Were it to step on with its
-   * first map, callers would get answers from mixed maps; it waits until a map is committed to it.
+   * Guards against answers from mixed maps after a restart. A rank that restarts without its state
+   * must not step with its first map; it waits until a map is committed to it.
    */
   @Test
-  void aRestartedRankWaitsForACommittedMap() throws Exception {
+  void waitsForCommittedMapAfterRankRestarts() throws Exception {
     try (StandInFixture fixture = group()) {
       List<ModelEngine> ranks = ranks(fixture);
       fixture.control("POST", "/control/restart", new byte[0]);
@@ -122,10 +122,10 @@
                 .orElse(ResultCode.OK));
   }
 
-  /** Tries steps ahead of the group until the order is not too late. */
+  /** Tries steps ahead of the group until the order is accepted, and returns that step. */
   private static long firstAccepted(ModelEngine rank, StepOrder order) {
     for (int attempt = 0; attempt < 100; attempt++) {
-      long step = rank.rank().join().step() + AHEAD;
+      long step = rank.rank().join().step() + STEPS_AHEAD;
       if (order.at(step) == ResultCode.OK) {
         return step;
       }
@@ -134,7 +134,7 @@
   }
 
   private static void await(ModelEngine rank, Predicate<RankState> reached) {
-    boolean seen = Stream.generate(() -> rank.rank().join()).limit(MOST_READS).anyMatch(reached);
+    boolean seen = Stream.generate(() -> rank.rank().join()).limit(MAXIMUM_READS).anyMatch(reached);
     assertThat(seen).isTrue();
   }
 
--- a/standins/src/test/java/dev/ibishub/standins/EngineRankTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/EngineRankTest.java
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void higherPriorityRunsFirst() {
+  void runsHigherPriorityFirst() {
     EngineRank rank = rank(options(1, 10, 0));
     GeneratedStream low = rank.start(call("low", "ibis", 5, 0));
     GeneratedStream high = rank.start(call("high", "ibis", 5, 9));
@@ -46,7 +46,7 @@
   }
 
   @Test
-  void aCachedPrefixSparesItsSteps() {
+  void skipsPrefillStepsOfCachedPrefix() {
     EngineRank rank = rank(options(8, 10, 0));
     GeneratedStream first = rank.start(call("first", "x".repeat(256), 5, 0));
     rank.step(NOW);
@@ -57,7 +57,7 @@
   }
 
   @Test
-  void cacheEventsComeLateAndWithGaps() {
+  void showsCacheEventsWithLagAndGaps() {
     PrefixCache cache = new PrefixCache(options(8, 10, 2));
     cache.admit("x".repeat(256), NOW);
     assertThat(cache.events(0, NOW).events()).isEmpty();
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void theLeastRecentlyUsedPrefixIsEvicted() {
+  void evictsLeastRecentlyUsedPrefix() {
     PrefixCache cache = new PrefixCache(options(8, 1, 0));
     cache.admit("x".repeat(64), NOW);
     cache.admit("y".repeat(64), NOW);
@@ -78,7 +78,7 @@
   }
 
   @Test
-  void theReportedLoadLagsBehind() {
+  void reportsLoadWithLag() {
     EngineOptions lagging =
         new EngineOptions(
             "", 1, 4, List.of("dictionary"), 5, 8, 1, 16, 10, 0, 0, 2000, true, true, 0, 60);
