--- a/standins/src/test/java/dev/ibishub/standins/CallerSessionTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/CallerSessionTest.java
@@ -35,27 +35,27 @@
   }
 
   @Test
-  void aWholeAnswerIsDone() throws Exception {
+  void reportsWholeAnswerAsDone() throws Exception {
     CallerSession.Ending ending = run(request -> stream(answer(request), 0, 5, true));
     assertThat(ending.outcome()).isEqualTo(CallerSession.Outcome.DONE);
     assertThat(ending.chunkNanos()).hasSize(5);
   }
 
   @Test
-  void aChunkGivenTwiceIsABreach() throws Exception {
+  void reportsDuplicateChunkAsBreach() throws Exception {
     CallerSession.Ending ending = run(request -> twoParts(request, 3, 2));
     assertThat(ending.outcome()).isEqualTo(CallerSession.Outcome.BREACH);
     assertThat(ending.detail()).contains("duplicate");
   }
 
   @Test
-  void aMissingChunkIsABreach() throws Exception {
+  void reportsMissingChunkAsBreach() throws Exception {
     CallerSession.Ending ending = run(request -> twoParts(request, 2, 3));
     assertThat(ending.detail()).contains("partial");
   }
 
   @Test
-  void anAnswerOfAnotherCallerIsABreach() throws Exception {
+  void reportsAnswerOfAnotherCallerAsBreach() throws Exception {
     CallerSession.Ending ending =
         run(request -> stream(List.of("not", "this", "caller's", "own", "answer"), 0, 5, true));
     assertThat(ending.outcome()).isEqualTo(CallerSession.Outcome.BREACH);
@@ -63,10 +63,11 @@
   }
 
   /**
-   * The entry dies in mid-stream: the caller joins the same answer again and sends nothing anew.
+   * The entry dies in mid-stream: the caller resumes the same answer and doesn't send the request
+   * again.
    */
   @Test
-  void aBrokenStreamIsJoinedAgain() throws Exception {
+  void resumesBrokenStream() throws Exception {
     CallerSession.Ending ending =
         run(
             request ->
@@ -79,7 +80,7 @@
   }
 
   @Test
-  void aRefusalAsNotRunIsSentAgain() throws Exception {
+  void retriesRequestThatWasRefusedAsNotRun() throws Exception {
     CallerSession.Ending ending =
         run(
             request ->
@@ -91,11 +92,11 @@
   }
 
   /**
-   * A first attempt breaks before it is named, so it may have run; every later one is refused as
-   * not run. Told "not run", an analyst would count the answer as never coded.
+   * Guards against reporting "not run" when an earlier attempt may have run. The first attempt
+   * breaks before its request id is known; every later one is refused as not run.
    */
   @Test
-  void refusalsAfterABrokenAttemptLeaveTheOutcomeUnknown() throws Exception {
+  void reportsOutcomeUnknownWhenRefusalsFollowBrokenAttempt() throws Exception {
     CallerSession.Ending ending =
         run(
             request -> {
@@ -108,7 +109,7 @@
   }
 
   @Test
-  void refusalsToTheEndAreNotRunAndNotLost() throws Exception {
+  void reportsNotRunWhenEveryAttemptIsRefused() throws Exception {
     CallerSession.Ending ending = run(request -> refusal());
     assertThat(ending.outcome()).isEqualTo(CallerSession.Outcome.NOT_RUN);
     assertThat(ending.resultCode()).isEqualTo(2002);
@@ -172,7 +173,7 @@
     return ExpectedAnswer.tokens("dictionary", request.body().orElseThrow());
   }
 
-  /** Chunks up to one number, then from another on to the end. */
+  /** Writes the chunks before {@code to}, then those from {@code from} on, then the end. */
   private static StandInReply twoParts(StandInRequest request, int to, int from) {
     return StandInReply.streamed(
         out -> {
--- a/standins/src/test/java/dev/ibishub/standins/ExecutionAuditTest.java
+++ b/standins/src/test/java/dev/ibishub/standins/ExecutionAuditTest.java
@@ -14,36 +14,37 @@
 
 class ExecutionAuditTest {
   /**
-   * An entry refuses request r1 as not run while its attempt r1.1 runs on an engine: the caller
-   * sends it again and gets two answers' worth of work. The audit must find it.
+   * Guards against an entry that refuses a request as not run while one of its attempts runs:
+   * request r1 is refused although attempt r1.1 started on an engine, so a caller's retry doubles
+   * the work.
    */
   @Test
-  void anAttemptThatRanThoughRefusedIsFound() throws Exception {
+  void findsAttemptThatRanThoughRefusedAsNotRun() throws Exception {
     assertThat(auditOfEngine("r1.1")).hasSize(1);
   }
 
   @Test
-  void anotherRequestWithALongerNameIsNoBreach() throws Exception {
+  void ignoresRequestWhoseIdOnlyBeginsAlike() throws Exception {
     assertThat(auditOfEngine("r10.1")).isEmpty();
   }
 
   @Test
-  void aKeyThatRanTwiceIsFound() throws Exception {
+  void findsKeyThatRanTwice() throws Exception {
     assertThat(auditOfService(CallerSession.Outcome.DONE, 2)).hasSize(1);
   }
 
   @Test
-  void aKeyToldAsNotRunThatRanIsFound() throws Exception {
+  void findsKeyReportedAsNotRunThatRan() throws Exception {
     assertThat(auditOfService(CallerSession.Outcome.NOT_RUN, 1)).hasSize(1);
   }
 
   @Test
-  void aKeyToldAsDoneThatNeverRanIsFound() throws Exception {
+  void findsKeyReportedAsDoneThatNeverRan() throws Exception {
     assertThat(auditOfService(CallerSession.Outcome.DONE, 0)).hasSize(1);
   }
 
   @Test
-  void aKeyThatRanOnceAndWasToldSoIsNoBreach() throws Exception {
+  void acceptsKeyReportedAsDoneThatRanOnce() throws Exception {
     assertThat(auditOfService(CallerSession.Outcome.DONE, 1)).isEmpty();
   }
 
@@ -59,7 +60,7 @@
     }
   }
 
-  private static List<String> auditOfService(CallerSession.Outcome told, int executions)
+  private static List<String> auditOfService(CallerSession.Outcome reported, int executions)
       throws Exception {
     try (StandInFixture fixture = StandInFixture.start("service")) {
       HttpPlainService service = HttpPlainService.create(fixture.base(), fixture.client());
@@ -69,7 +70,7 @@
       return ExecutionAudit.check(
           fixture.client(),
           options("--audit-services", fixture),
-          List.of(ending(told, Optional.of("key-1"), List.of())));
+          List.of(ending(reported, Optional.of("key-1"), List.of())));
     }
   }
 
