--- a/standins/src/main/java/dev/ibishub/standins/EngineRank.java
+++ b/standins/src/main/java/dev/ibishub/standins/EngineRank.java
@@ -178,8 +178,9 @@
   }
 
   /**
-   * Cancels every answer and resets the state to that of the start, as a crash and restart does.
-   * Only what the options name as served is loaded afterwards.
+   * Simulates a crash and restart: cancels every answer and clears streams, queue, batch, fencing
+   * token, last order and expert map. Only what the options name as served is loaded afterwards.
+   * The role, the prefix cache and the ids of started streams stay.
    */
   void restart(long nextStart) {
     engineStart = nextStart;
