--- a/standins/src/main/java/dev/ibishub/standins/EngineStandIn.java
+++ b/standins/src/main/java/dev/ibishub/standins/EngineStandIn.java
@@ -12,19 +12,19 @@
 import java.util.OptionalInt;
 import java.util.Set;
 
-/** The HTTP face of one rank. Thread-safe. */
+/** Serves the HTTP interface of one rank. Thread-safe. */
 final class EngineStandIn {
   private static final String STREAMS = "/v1/streams/";
 
   private final EngineGroup group;
   private final int rank;
   private final EngineOptions options;
-  private final FaultSwitch faults;
+  private final FaultInjector faults;
 
-  /** What {@code GET /control/streams} tells: each stream id that ever started here. */
+  /** The answer to {@code GET /control/streams}: every stream id that ever started on this rank. */
   record StreamAudit(int count, Set<String> started) {}
 
-  EngineStandIn(EngineGroup group, int rank, EngineOptions options, FaultSwitch faults) {
+  EngineStandIn(EngineGroup group, int rank, EngineOptions options, FaultInjector faults) {
     this.group = group;
     this.rank = rank;
     this.options = options;
@@ -55,7 +55,7 @@
   private StandInReply control(StandInRequest request) {
     return switch (request.method() + " " + request.path()) {
       case "GET /control/streams" -> {
-        Set<String> started = group.everStarted(rank);
+        Set<String> started = group.startedStreamIds(rank);
         yield StandInReply.json(new StreamAudit(started.size(), started));
       }
       case "GET /control/group" -> StandInReply.json(group.audit());
@@ -89,7 +89,7 @@
 
   private void write(GeneratedStream stream, long from, OutputStream out)
       throws IOException, InterruptedException {
-    OptionalInt cutAfter = faults.takeCutStream();
+    OptionalInt cutAfter = faults.consumeStreamCut();
     try {
       long number = from;
       Optional<String> piece = stream.awaitPiece(number);
--- a/standins/src/main/java/dev/ibishub/standins/ExecutionAudit.java
+++ b/standins/src/main/java/dev/ibishub/standins/ExecutionAudit.java
@@ -19,8 +19,10 @@
 import java.util.stream.Collectors;
 
 /**
- * Holds what callers were told against what the stand-ins ran: a key runs at most once, a done call
- * ran once, and what was refused as not run never ran.
+ * Compares the outcomes that callers received with what the stand-ins executed.
+ *
+ * <p>An idempotency key runs at most once, a call reported as done ran exactly once, and an attempt
+ * that was refused as not run never ran.
  */
 final class ExecutionAudit {
   private static final Duration TIMEOUT = Duration.ofSeconds(10);
@@ -35,7 +37,7 @@
   }
 
   /**
-   * Reads the stand-ins' records and compares.
+   * Reads the records of the stand-ins and compares them with the outcomes.
    *
    * @return the breaches found, empty for none; a stand-in that cannot be read is one
    */
@@ -45,16 +47,16 @@
     ExecutionAudit audit = new ExecutionAudit(client);
     List<String> breaches = new ArrayList<>();
     try {
-      for (URI service : options.serviceAudits()) {
+      for (URI service : options.serviceAuditUrls()) {
         audit.readService(service);
       }
-      for (URI engine : options.engineAudits()) {
+      for (URI engine : options.engineAuditUrls()) {
         audit.readEngine(engine);
       }
     } catch (IOException e) {
       breaches.add("AUDIT unreadable: " + e);
     }
-    if (!options.serviceAudits().isEmpty()) {
+    if (!options.serviceAuditUrls().isEmpty()) {
       breaches.addAll(audit.keyBreaches(endings));
     }
     breaches.addAll(audit.notRunBreaches(endings));
--- a/standins/src/main/java/dev/ibishub/standins/FaultSwitch.java
+++ b/standins/src/main/java/dev/ibishub/standins/FaultInjector.java
@@ -2,8 +2,8 @@
 
 import java.util.OptionalInt;
 
-/** The faults in force at one stand-in. Thread-safe under its own lock. */
-final class FaultSwitch {
+/** Holds the faults that one stand-in currently injects. Thread-safe under its own lock. */
+final class FaultInjector {
   private final Object lock = new Object();
   private Faults faults = Faults.none();
 
@@ -20,8 +20,8 @@
     }
   }
 
-  /** Waits while frozen. */
-  void awaitThaw() throws InterruptedException {
+  /** Blocks while the freeze fault is set. */
+  void awaitUnfrozen() throws InterruptedException {
     synchronized (lock) {
       while (faults.freeze()) {
         lock.wait();
@@ -29,8 +29,8 @@
     }
   }
 
-  /** Uses up one answer to lose; false when none is left. */
-  boolean takeLostAnswer() {
+  /** Consumes one lost answer; false when no answer is to be lost. */
+  boolean consumeLostAnswer() {
     synchronized (lock) {
       if (faults.loseNextAnswers() <= 0) {
         return false;
@@ -40,8 +40,11 @@
     }
   }
 
-  /** Uses up one stream to cut and tells after how many pieces; empty when none is left. */
-  OptionalInt takeCutStream() {
+  /**
+   * Consumes one stream to cut and returns after how many pieces to cut it; empty when none is to
+   * be cut.
+   */
+  OptionalInt consumeStreamCut() {
     synchronized (lock) {
       if (faults.cutNextStreams() <= 0) {
         return OptionalInt.empty();
