--- a/bench/src/main/java/dev/ibishub/bench/model/EngineModel.java
+++ b/bench/src/main/java/dev/ibishub/bench/model/EngineModel.java
@@ -8,16 +8,16 @@
 import java.util.function.Consumer;
 
 /**
- * An engine that batches continuously: each step decodes one token of every sequence whose prompt
- * has been read and reads a bounded number of prompt tokens, of urgent sequences first. Not
+ * Model of an engine with continuous batching: each step decodes one token of every sequence whose
+ * prompt has been read, and reads a bounded number of prompt tokens, urgent sequences first. Not
  * thread-safe.
  */
 public final class EngineModel {
   private final EventQueue events;
   private final EngineParameters parameters;
-  private final Consumer<ModelRequest> onEnd;
+  private final Consumer<ModelRequest> onFinished;
   private final Set<Long> cachedPrefixes = new LinkedHashSet<>();
-  private final List<Long> cacheNews = new ArrayList<>();
+  private final List<Long> newPrefixes = new ArrayList<>();
   private List<Sequence> sequences = new ArrayList<>();
   private double slowdown = 1;
   private boolean stepping;
@@ -25,11 +25,12 @@
   private long prefixHits;
   private long prefixLookups;
 
-  /** Creates an idle engine that tells of each request that has ended. */
-  public EngineModel(EventQueue events, EngineParameters parameters, Consumer<ModelRequest> onEnd) {
+  /** Creates an idle engine that passes each finished request to {@code onFinished}. */
+  public EngineModel(
+      EventQueue events, EngineParameters parameters, Consumer<ModelRequest> onFinished) {
     this.events = events;
     this.parameters = parameters;
-    this.onEnd = onEnd;
+    this.onFinished = onFinished;
   }
 
   public int running() {
@@ -44,31 +45,31 @@
     return prefixLookups;
   }
 
-  /** Makes every step so many times as long. */
+  /** Multiplies the duration of every step by a factor. */
   public void slowDown(double factor) {
     slowdown = factor;
   }
 
-  /** Stops for good without a word; what runs is lost and returned. */
-  public List<ModelRequest> die() {
+  /** Stops for good without notifying anyone, and returns the requests that were running. */
+  public List<ModelRequest> crash() {
     dead = true;
     List<ModelRequest> lost = sequences.stream().map(Sequence::request).toList();
     sequences = new ArrayList<>();
     return lost;
   }
 
-  /** Prefixes that were cached since the last call. */
-  public List<Long> takeCacheNews() {
-    List<Long> news = List.copyOf(cacheNews);
-    cacheNews.clear();
-    return news;
+  /** Returns the prefixes that were cached since the last call. */
+  public List<Long> takeNewPrefixes() {
+    List<Long> added = List.copyOf(newPrefixes);
+    newPrefixes.clear();
+    return added;
   }
 
   public boolean hasCached(long prefixHash) {
     return cachedPrefixes.contains(prefixHash);
   }
 
-  /** Starts a request. */
+  /** Starts a request; its prompt is read before those of sequences that are not urgent. */
   public void start(ModelRequest request, boolean urgent) {
     request.started(events.seconds());
     sequences.add(new Sequence(request, urgent, promptTokensToRead(request)));
@@ -77,20 +78,20 @@
     }
   }
 
-  /** Seconds until the first token of a request that is started now. */
+  /** Returns the seconds until the first token of a request that is started now. */
   double firstTokenSeconds(ModelRequest request) {
     double own =
         cachedPrefixes.contains(request.prefixHash())
             ? request.promptTokens() * (1 - parameters.prefixShare())
             : request.promptTokens();
-    double prompts = own + sequences.stream().mapToInt(sequence -> sequence.promptLeft).sum();
+    double prompts = own + sequences.stream().mapToInt(sequence -> sequence.promptTokensLeft).sum();
     double steps = Math.ceil(prompts / parameters.promptTokensPerStep());
     return slowdown
         * (steps * (parameters.stepSeconds() + sequences.size() * parameters.sequenceSeconds())
             + prompts * parameters.promptTokenSeconds());
   }
 
-  /** Drops a request whose answer is no longer wanted. */
+  /** Cancels a request; returns whether it was running. */
   public boolean cancel(ModelRequest request) {
     return sequences.removeIf(sequence -> sequence.request().equals(request));
   }
@@ -106,7 +107,7 @@
       cachedPrefixes.remove(cachedPrefixes.iterator().next());
     }
     if (!cached) {
-      cacheNews.add(request.prefixHash());
+      newPrefixes.add(request.prefixHash());
       return request.promptTokens();
     }
     prefixHits++;
@@ -116,11 +117,11 @@
   private void step() {
     stepping = true;
     int decoding = (int) sequences.stream().filter(Sequence::isDecoding).count();
-    int read = readPrompts();
+    int promptTokens = readPrompts();
     double seconds =
         parameters.stepSeconds()
             + decoding * parameters.sequenceSeconds()
-            + read * parameters.promptTokenSeconds();
+            + promptTokens * parameters.promptTokenSeconds();
     events.after(seconds * slowdown, this::endStep);
   }
 
@@ -132,9 +133,9 @@
             .sorted(Comparator.comparing(sequence -> !sequence.urgent))
             .toList();
     for (Sequence sequence : reading) {
-      budget -= sequence.read(budget);
+      budget -= sequence.readPrompt(budget);
     }
-    sequences.forEach(Sequence::takesPart);
+    sequences.forEach(Sequence::joinStep);
     return parameters.promptTokensPerStep() - budget;
   }
 
@@ -150,7 +151,7 @@
       (sequence.endStep(now) ? ended : rest).add(sequence);
     }
     sequences = rest;
-    ended.forEach(sequence -> onEnd.accept(sequence.request()));
+    ended.forEach(sequence -> onFinished.accept(sequence.request()));
     if (!sequences.isEmpty() && !stepping) {
       step();
     }
@@ -159,14 +160,14 @@
   private static final class Sequence {
     private final ModelRequest request;
     private final boolean urgent;
-    private int promptLeft;
-    private int produced;
+    private int promptTokensLeft;
+    private int producedTokens;
     private boolean inStep;
 
-    Sequence(ModelRequest request, boolean urgent, int promptLeft) {
+    Sequence(ModelRequest request, boolean urgent, int promptTokensLeft) {
       this.request = request;
       this.urgent = urgent;
-      this.promptLeft = Math.max(1, promptLeft);
+      this.promptTokensLeft = Math.max(1, promptTokensLeft);
     }
 
     ModelRequest request() {
@@ -174,29 +175,29 @@
     }
 
     boolean isDecoding() {
-      return promptLeft == 0;
+      return promptTokensLeft == 0;
     }
 
-    int read(int budget) {
-      int read = Math.min(budget, promptLeft);
-      promptLeft -= read;
-      return read;
+    int readPrompt(int budget) {
+      int tokens = Math.min(budget, promptTokensLeft);
+      promptTokensLeft -= tokens;
+      return tokens;
     }
 
-    void takesPart() {
+    void joinStep() {
       inStep = true;
     }
 
-    /** Returns whether the sequence has ended. */
+    /** Counts a step that ends now; returns whether the sequence is finished. */
     boolean endStep(double now) {
-      if (!inStep || promptLeft > 0) {
+      if (!inStep || promptTokensLeft > 0) {
         return false;
       }
-      if (produced == 0) {
+      if (producedTokens == 0) {
         request.firstToken(now);
       }
-      produced++;
-      if (produced < request.outputTokens()) {
+      producedTokens++;
+      if (producedTokens < request.outputTokens()) {
         return false;
       }
       request.finished(now);
--- a/bench/src/main/java/dev/ibishub/bench/model/EventQueue.java
+++ b/bench/src/main/java/dev/ibishub/bench/model/EventQueue.java
@@ -4,10 +4,10 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** The clock of a bench: it runs actions in the order of their times. Not thread-safe. */
+/** A simulated clock that runs scheduled actions in the order of their times. Not thread-safe. */
 public final class EventQueue {
   private static final Instant START = Instant.parse("2026-01-01T00:00:00Z");
-  private static final double NANOS = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
@@ -15,27 +15,27 @@
   private double now;
   private long scheduled;
 
-  /** Seconds since the start. */
+  /** Returns the seconds since the start. */
   public double seconds() {
     return now;
   }
 
-  /** The current time. */
+  /** Returns the current simulated time. */
   public Instant now() {
     return instant(now);
   }
 
-  /** The instant at so many seconds since the start. */
+  /** Returns the instant at the given number of seconds after the start. */
   public Instant instant(double seconds) {
-    return START.plusNanos((long) (seconds * NANOS));
+    return START.plusNanos((long) (seconds * NANOS_PER_SECOND));
   }
 
-  /** Runs an action so many seconds from now. */
+  /** Schedules an action after a delay; a negative delay counts as 0. */
   public void after(double delaySeconds, Runnable action) {
     events.add(new Event(now + Math.max(0, delaySeconds), scheduled++, action));
   }
 
-  /** Runs an action every so many seconds from now on. */
+  /** Schedules an action at a fixed period, first after one period. */
   public void every(double periodSeconds, Runnable action) {
     after(
         periodSeconds,
@@ -45,7 +45,7 @@
         });
   }
 
-  /** Runs all actions up to the given time. */
+  /** Runs all actions that are due up to the given second, and advances the clock to it. */
   public void runUntil(double seconds) {
     while (!events.isEmpty() && events.peek().seconds() <= seconds) {
       Event event = events.poll();
--- a/bench/src/main/java/dev/ibishub/bench/model/ModelRequest.java
+++ b/bench/src/main/java/dev/ibishub/bench/model/ModelRequest.java
@@ -1,8 +1,8 @@
 package dev.ibishub.bench.model;
 
-/** One attempt of a request on its way through a bench. Not thread-safe. */
+/** One attempt of a simulated request. Not thread-safe. */
 public final class ModelRequest {
-  /** Cost of a prompt token against that of a generated one. */
+  /** Cost of a prompt token relative to that of a generated token. */
   public static final double PROMPT_TOKEN_COST = 0.125;
 
   private final String id;
@@ -38,8 +38,8 @@
     this.deadlineAt = deadlineAt;
   }
 
-  /** The same request, sent again. */
-  public ModelRequest again(double seconds, double deadlineSeconds) {
+  /** Returns a new attempt of the same request that arrives at the given second. */
+  public ModelRequest retry(double seconds, double deadlineSeconds) {
     return new ModelRequest(
         id + "'",
         workspace,
@@ -94,22 +94,22 @@
     return finishedAt;
   }
 
-  /** Seconds from arrival to the first token. */
+  /** Returns the seconds from arrival to the first token. */
   public double firstTokenSeconds() {
     return firstTokenAt - arrivedAt;
   }
 
-  /** Mean seconds between tokens. */
+  /** Returns the mean seconds between tokens. */
   public double secondsBetweenTokens() {
     return (finishedAt - firstTokenAt) / Math.max(1, outputTokens - 1);
   }
 
-  /** What the request is expected to cost. */
+  /** Returns the estimated cost, in generated tokens. */
   public double estimatedTokens() {
     return estimatedOutputTokens + PROMPT_TOKEN_COST * promptTokens;
   }
 
-  /** What the request costs. */
+  /** Returns the true cost, in generated tokens. */
   public double actualTokens() {
     return outputTokens + PROMPT_TOKEN_COST * promptTokens;
   }
@@ -127,11 +127,11 @@
   }
 
   /**
-   * Tokens of a request.
+   * Token counts of a request.
    *
    * @param prompt tokens of the prompt
-   * @param output tokens that are generated
-   * @param estimatedOutput what the caller asks for at most
+   * @param output tokens that the engine generates
+   * @param estimatedOutput maximum output tokens that the caller asks for
    */
   public record Size(int prompt, int output, int estimatedOutput) {}
 }
--- a/bench/src/main/java/dev/ibishub/bench/model/TargetModel.java
+++ b/bench/src/main/java/dev/ibishub/bench/model/TargetModel.java
@@ -11,11 +11,11 @@
 import java.util.function.Consumer;
 
 /**
- * A target as its agent runs it, with the real queue and the real limit before an engine. Not
- * thread-safe.
+ * Model of a target with its agent: the production queue and concurrency limit in front of an
+ * {@link EngineModel}. Not thread-safe.
  */
 public final class TargetModel {
-  private static final int RESERVED = 6;
+  private static final int RESERVED_SLOTS = 6;
   private static final double RATE_SMOOTHING = 0.1;
 
   private final String id;
@@ -26,7 +26,7 @@
   private final FairQueue<ModelRequest> queue = FairQueue.create();
   private final ConcurrencyLimit limit;
   private final EngineModel engine;
-  private final Consumer<ModelRequest> onEnd;
+  private final Consumer<ModelRequest> onFinished;
   private double tokensPerSecond;
   private double tokensSinceMeasured;
   private double measuredAt;
@@ -40,18 +40,19 @@
       EventQueue events,
       EngineParameters parameters,
       Discipline discipline,
-      Consumer<ModelRequest> onEnd) {
+      Consumer<ModelRequest> onFinished) {
     this.id = id;
     this.zone = zone;
     this.served = Set.copyOf(served);
     this.events = events;
     this.discipline = discipline;
-    this.onEnd = onEnd;
+    this.onFinished = onFinished;
     this.engine = new EngineModel(events, parameters, this::ended);
-    int reserved = discipline == Discipline.FAIR ? RESERVED : 0;
-    int places = parameters.largestBatch() - reserved;
+    int reserved = discipline == Discipline.FAIR ? RESERVED_SLOTS : 0;
+    int sharedSlots = parameters.largestBatch() - reserved;
     this.limit =
-        ConcurrencyLimit.create(new ConcurrencyLimitOptions(4, places, places, 0.025, 2, reserved));
+        ConcurrencyLimit.create(
+            new ConcurrencyLimitOptions(4, sharedSlots, sharedSlots, 0.025, 2, reserved));
     events.every(0.5, this::measure);
   }
 
@@ -91,12 +92,12 @@
     leaving = true;
   }
 
-  /** Takes a request: it waits until the queue's order and the limit let it start. */
+  /** Queues a request; the queue discipline and the concurrency limit decide when it starts. */
   public void submit(ModelRequest request) {
     submit(request, request.deadlineAt());
   }
 
-  /** Takes a request that is given up unless it starts by the given second. */
+  /** Queues a request that expires unless it starts by the given second. */
   public void submit(ModelRequest request, double startBy) {
     queue.offer(
         new QueuedWork<>(
@@ -110,7 +111,7 @@
     startNext();
   }
 
-  /** What a request that came now would wait for its first token, by the true state. */
+  /** Returns the seconds to first token of a request that arrives now, from the actual state. */
   public double firstTokenSeconds(ModelRequest request) {
     boolean waits = queue.size() > 0 || engine.running() >= limit.limit();
     double rate = tokensPerSecond > 0 ? tokensPerSecond : 1;
@@ -118,12 +119,12 @@
     return (waits ? ahead / rate : 0) + engine.firstTokenSeconds(request);
   }
 
-  /** Takes out what has expired in the queue. */
+  /** Removes and returns the expired requests of the queue. */
   public List<ModelRequest> removeExpired() {
     return queue.removeExpired(events.now()).stream().map(QueuedWork::item).toList();
   }
 
-  /** What the agent reports now. */
+  /** Returns the status that the agent would report now. */
   public TargetStatus status() {
     return new TargetStatus(
         id,
@@ -163,7 +164,7 @@
         discipline == Discipline.FAIR ? request.workspace() : "all",
         request.estimatedTokens(),
         request.actualTokens());
-    onEnd.accept(request);
+    onFinished.accept(request);
     startNext();
   }
 
@@ -180,11 +181,11 @@
     measuredAt = events.seconds();
   }
 
-  /** In which order work that waits is started. */
+  /** The order in which queued work starts. */
   public enum Discipline {
-    /** In the order of arrival. */
+    /** Order of arrival. */
     FIRST_IN_FIRST_OUT,
-    /** By start-time fair queueing over workspaces. */
+    /** Start-time fair queueing over workspaces. */
     FAIR
   }
 }
--- a/bench/src/main/java/dev/ibishub/bench/model/Workload.java
+++ b/bench/src/main/java/dev/ibishub/bench/model/Workload.java
@@ -4,15 +4,15 @@
 import java.util.function.BiConsumer;
 
 /**
- * Requests of one workspace that arrive at random at a mean rate and are handed to an entry.
+ * Poisson arrivals of requests of one workspace.
  *
- * @param workspace that sends them
- * @param weight of the workspace
- * @param requestsPerSecond mean rate
- * @param meanPrompt mean tokens of a prompt
- * @param meanOutput mean tokens of an answer
- * @param prefixes different prefixes; 0 for prompts without a common one
- * @param deadlineSeconds from arrival
+ * @param workspace name of the workspace
+ * @param weight fair-queueing weight of the workspace
+ * @param requestsPerSecond mean arrival rate
+ * @param meanPrompt mean prompt tokens of a request
+ * @param meanOutput mean generated tokens of a request
+ * @param prefixes number of distinct prompt prefixes; 0 for prompts that share none
+ * @param deadlineSeconds time from arrival to the deadline
  */
 public record Workload(
     String workspace,
@@ -22,16 +22,19 @@
     int meanOutput,
     int prefixes,
     double deadlineSeconds) {
-  private static final double LARGEST_ESTIMATE = 2;
+  private static final double MAX_ESTIMATE_FACTOR = 2;
 
-  /** Sends requests from one second to another; the receiver also gets a draw from 0 to 1. */
+  /**
+   * Sends requests from one second to another; the receiver also gets a random number in [0, 1), to
+   * choose an entry by.
+   */
   public void send(
       EventQueue events,
       Random random,
       double from,
       double until,
       BiConsumer<ModelRequest, Double> receiver) {
-    double first = from - events.seconds() + gap(random);
+    double first = from - events.seconds() + interarrivalSeconds(random);
     events.after(first, () -> sendNext(events, random, until, receiver));
   }
 
@@ -41,14 +44,14 @@
       return;
     }
     receiver.accept(draw(events, random), random.nextDouble());
-    events.after(gap(random), () -> sendNext(events, random, until, receiver));
+    events.after(interarrivalSeconds(random), () -> sendNext(events, random, until, receiver));
   }
 
   private ModelRequest draw(EventQueue events, Random random) {
     int output = Math.max(1, (int) (meanOutput * (0.5 + random.nextDouble())));
     int prompt = Math.max(1, (int) (meanPrompt * (0.5 + random.nextDouble())));
-    int estimate = (int) (output * (1 + random.nextDouble() * (LARGEST_ESTIMATE - 1)));
-    // A few prefixes are asked for far more often than the rest.
+    int estimate = (int) (output * (1 + random.nextDouble() * (MAX_ESTIMATE_FACTOR - 1)));
+    // Squaring makes a few prefixes far more frequent than the rest.
     double skewed = Math.pow(random.nextDouble(), 2);
     long prefix = prefixes == 0 ? 0 : 1 + (long) (skewed * prefixes) + workspace.hashCode() * 7919L;
     return new ModelRequest(
@@ -61,7 +64,7 @@
         events.seconds() + deadlineSeconds);
   }
 
-  private double gap(Random random) {
+  private double interarrivalSeconds(Random random) {
     return -Math.log(1 - random.nextDouble()) / requestsPerSecond;
   }
 }
--- a/bench/src/main/java/dev/ibishub/bench/model/package-info.java
+++ b/bench/src/main/java/dev/ibishub/bench/model/package-info.java
@@ -1,2 +1,2 @@
-/** The smallest models of what stands around the decisions: a clock, an engine, its agent. */
+/** Simulation models for the measurements: a clock, an engine, a target and a workload. */
 package dev.ibishub.bench.model;
--- a/bench/src/main/java/dev/ibishub/bench/overload/OverloadBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/overload/OverloadBench.java
@@ -12,11 +12,13 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** From half to three times the capacity, with deadlines and callers that try again. */
+/**
+ * Measures overload policies at 0.5 to 3 times the capacity, with deadlines and callers that retry.
+ */
 public final class OverloadBench implements Bench {
   private static final List<Double> LOADS = List.of(0.5, 0.8, 1.0, 1.5, 2.0, 3.0);
-  private static final double SPIKE_FROM = 15;
-  private static final double SPIKE_UNTIL = 22;
+  private static final double SPIKE_FROM_SECOND = 15;
+  private static final double SPIKE_UNTIL_SECOND = 22;
 
   @Override
   public String name() {
@@ -71,15 +73,20 @@
   private static double recovery(Policy policy, long seed) {
     Result result =
         OverloadRun.run(
-            policy, second -> second >= SPIKE_FROM && second < SPIKE_UNTIL ? 3 : 0.7, seed);
+            policy,
+            second -> second >= SPIKE_FROM_SECOND && second < SPIKE_UNTIL_SECOND ? 3 : 0.7,
+            seed);
     double before =
-        result.goodPerSecond().subList((int) OverloadRun.WARM_UP + 3, (int) SPIKE_FROM).stream()
+        result
+            .inTimeBySecond()
+            .subList((int) OverloadRun.WARM_UP_SECONDS + 3, (int) SPIKE_FROM_SECOND)
+            .stream()
             .mapToDouble(Double::doubleValue)
             .average()
             .orElseThrow();
-    return IntStream.range((int) SPIKE_UNTIL, (int) OverloadRun.END - 1)
-        .filter(second -> result.goodPerSecond().get(second) >= 0.9 * before)
-        .mapToDouble(second -> second - SPIKE_UNTIL)
+    return IntStream.range((int) SPIKE_UNTIL_SECOND, (int) OverloadRun.END_SECONDS - 1)
+        .filter(second -> result.inTimeBySecond().get(second) >= 0.9 * before)
+        .mapToDouble(second -> second - SPIKE_UNTIL_SECOND)
         .findFirst()
         .orElse(Double.POSITIVE_INFINITY);
   }
--- a/bench/src/main/java/dev/ibishub/bench/overload/OverloadRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/overload/OverloadRun.java
@@ -26,21 +26,21 @@
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
 
-/** One load under one policy, with callers that try again. Not thread-safe. */
+/** Simulation of one load under one policy, with callers that retry. Not thread-safe. */
 final class OverloadRun {
-  static final double WARM_UP = 10;
-  static final double END = 40;
-  static final double DEADLINE = 4;
+  static final double WARM_UP_SECONDS = 10;
+  static final double END_SECONDS = 40;
+  static final double DEADLINE_SECONDS = 4;
   private static final int TARGETS = 4;
   private static final int ENTRIES = 6;
   private static final int WORKSPACES = 8;
-  private static final int PROMPT = 300;
-  private static final int OUTPUT = 100;
-  private static final int MOST_TRIES = 4;
-  private static final int BOUND = 64;
-  private static final double REPORT_PERIOD = 0.2;
+  private static final int PROMPT_TOKENS = 300;
+  private static final int OUTPUT_TOKENS = 100;
+  private static final int MAX_ATTEMPTS = 4;
+  private static final int QUEUE_BOUND = 64;
+  private static final double REPORT_PERIOD_SECONDS = 0.2;
   private static final double SERVICE_SECONDS = 2;
-  private static final double MICROS = 1e6;
+  private static final double MICROS_PER_SECOND = 1e6;
 
   private final EventQueue events = new EventQueue();
   private final Policy policy;
@@ -49,13 +49,13 @@
   private final List<Router> routers;
   private final List<Admission> admissions;
   private final Map<ModelRequest, Caller> callers = new HashMap<>();
-  private final Histogram refusal = new Histogram(3);
-  private final double[] goodPerSecond = new double[(int) END + 1];
+  private final Histogram refusalMicros = new Histogram(3);
+  private final double[] inTimeBySecond = new double[(int) END_SECONDS + 1];
   private double requests;
   private double attempts;
-  private double good;
+  private double answeredInTime;
   private double tokens;
-  private double wasted;
+  private double wastedTokens;
   private int nextTarget;
 
   private OverloadRun(Policy policy, long seed) {
@@ -86,20 +86,20 @@
             .toList();
   }
 
-  /** Runs a load that is given by second as a share of the capacity. */
+  /** Runs a load, given for each second as a multiple of the capacity. */
   static Result run(Policy policy, DoubleUnaryOperator load, long seed) {
-    return new OverloadRun(policy, seed).go(load);
+    return new OverloadRun(policy, seed).simulate(load);
   }
 
-  private Result go(DoubleUnaryOperator load) {
+  private Result simulate(DoubleUnaryOperator load) {
     routers.forEach(router -> router.setEntries(ENTRIES));
     reportAll();
-    events.every(REPORT_PERIOD, this::reportAll);
+    events.every(REPORT_PERIOD_SECONDS, this::reportAll);
     double rate =
         TARGETS
-            * EngineParameters.defaults().capacity(PROMPT, OUTPUT)
-            / (OUTPUT + ModelRequest.PROMPT_TOKEN_COST * PROMPT);
-    IntStream.range(0, (int) END)
+            * EngineParameters.defaults().capacity(PROMPT_TOKENS, OUTPUT_TOKENS)
+            / (OUTPUT_TOKENS + ModelRequest.PROMPT_TOKEN_COST * PROMPT_TOKENS);
+    IntStream.range(0, (int) END_SECONDS)
         .forEach(
             second ->
                 IntStream.range(0, WORKSPACES)
@@ -107,23 +107,30 @@
                         number ->
                             workload(number, rate * load.applyAsDouble(second))
                                 .send(events, random, second, second + 1, this::arrived)));
-    events.runUntil(END);
-    double seconds = END - WARM_UP;
+    events.runUntil(END_SECONDS);
+    double seconds = END_SECONDS - WARM_UP_SECONDS;
     return new Result(
-        good / seconds,
-        tokens == 0 ? 0 : wasted / tokens,
+        answeredInTime / seconds,
+        tokens == 0 ? 0 : wastedTokens / tokens,
         attempts / requests,
-        refusal.getTotalCount() == 0 ? 0 : refusal.getValueAtPercentile(99) / 1000.0,
-        refusal.getTotalCount() / requests,
-        Arrays.stream(goodPerSecond).boxed().toList());
+        refusalMicros.getTotalCount() == 0 ? 0 : refusalMicros.getValueAtPercentile(99) / 1000.0,
+        refusalMicros.getTotalCount() / requests,
+        Arrays.stream(inTimeBySecond).boxed().toList());
   }
 
   private static Workload workload(int number, double rate) {
-    return new Workload("workspace-" + number, 1, rate / WORKSPACES, PROMPT, OUTPUT, 0, DEADLINE);
+    return new Workload(
+        "workspace-" + number,
+        1,
+        rate / WORKSPACES,
+        PROMPT_TOKENS,
+        OUTPUT_TOKENS,
+        0,
+        DEADLINE_SECONDS);
   }
 
   private void arrived(ModelRequest request, double draw) {
-    boolean counted = events.seconds() >= WARM_UP;
+    boolean counted = events.seconds() >= WARM_UP_SECONDS;
     requests += counted ? 1 : 0;
     attempt(request, new Caller((int) (draw * ENTRIES), 1, counted, events.seconds()));
   }
@@ -133,7 +140,7 @@
       case NO_CONTROL -> dispatch(request, caller, nextTarget++ % TARGETS);
       case BOUNDED_QUEUE -> {
         int target = nextTarget++ % TARGETS;
-        if (targets.get(target).queued() >= BOUND) {
+        if (targets.get(target).queued() >= QUEUE_BOUND) {
           refused(request, caller, events.seconds() + random.nextDouble());
         } else {
           dispatch(request, caller, target);
@@ -175,32 +182,33 @@
       targets.get(target).submit(request, request.deadlineAt() - SERVICE_SECONDS);
     } else {
       targets.get(target).submit(request);
-      events.after(DEADLINE, () -> timedOut(request));
+      events.after(DEADLINE_SECONDS, () -> timedOut(request));
     }
   }
 
-  /** A caller without an answer gives up waiting and sends the request again. */
+  /** Retries a request whose caller got no answer; the timed-out attempt goes on at its target. */
   private void timedOut(ModelRequest request) {
     Caller caller = callers.get(request);
-    if (caller != null && caller.tries() < MOST_TRIES) {
-      callers.put(request, caller.again());
-      attempt(request.again(events.seconds(), DEADLINE), caller.again());
+    if (caller != null && caller.attemptNumber() < MAX_ATTEMPTS) {
+      callers.put(request, caller.nextAttempt());
+      attempt(request.retry(events.seconds(), DEADLINE_SECONDS), caller.nextAttempt());
     }
   }
 
   private void refused(ModelRequest request, Caller caller, double retryAt) {
     if (caller.counted()) {
-      refusal.recordValue((long) ((events.seconds() - caller.triedAt()) * MICROS));
+      refusalMicros.recordValue(
+          (long) ((events.seconds() - caller.attemptedAt()) * MICROS_PER_SECOND));
     }
-    if (caller.tries() >= MOST_TRIES) {
+    if (caller.attemptNumber() >= MAX_ATTEMPTS) {
       return;
     }
     events.after(
         retryAt - events.seconds(),
         () ->
             attempt(
-                request.again(events.seconds(), DEADLINE),
-                caller.again().triedAt(events.seconds())));
+                request.retry(events.seconds(), DEADLINE_SECONDS),
+                caller.nextAttempt().attemptedAt(events.seconds())));
   }
 
   private void ended(ModelRequest request) {
@@ -211,10 +219,10 @@
     }
     tokens += request.actualTokens();
     if (request.finishedAt() <= request.deadlineAt()) {
-      good++;
-      goodPerSecond[(int) events.seconds()]++;
+      answeredInTime++;
+      inTimeBySecond[(int) events.seconds()]++;
     } else {
-      wasted += request.actualTokens();
+      wastedTokens += request.actualTokens();
     }
   }
 
@@ -244,7 +252,7 @@
     refused(request, caller, events.seconds() + random.nextDouble());
   }
 
-  /** How overload is met. */
+  /** Ways to handle overload. */
   enum Policy {
     NO_CONTROL("no control"),
     BOUNDED_QUEUE("bounded queues"),
@@ -261,25 +269,25 @@
     }
   }
 
-  private record Caller(int entry, int tries, boolean counted, double triedAt) {
-    Caller again() {
-      return new Caller(entry, tries + 1, counted, triedAt);
+  private record Caller(int entry, int attemptNumber, boolean counted, double attemptedAt) {
+    Caller nextAttempt() {
+      return new Caller(entry, attemptNumber + 1, counted, attemptedAt);
     }
 
-    Caller triedAt(double seconds) {
-      return new Caller(entry, tries, counted, seconds);
+    Caller attemptedAt(double seconds) {
+      return new Caller(entry, attemptNumber, counted, seconds);
     }
   }
 
   /**
-   * What was measured after the warm-up.
+   * The results of a run, without its warm-up except in {@code inTimeBySecond}.
    *
-   * @param goodput whole answers in time, a second
-   * @param wasted share of the tokens that went into answers that came too late
-   * @param amplification attempts at targets for each request
-   * @param refusalMillis p99 of the time to a refusal
-   * @param refusals for each request
-   * @param goodPerSecond whole answers in time, by second of the run
+   * @param goodput complete answers a second that came in time
+   * @param wasted share of the tokens generated for answers that came after the deadline
+   * @param amplification attempts at targets per request
+   * @param refusalMillis 99th percentile of the time to a refusal, in milliseconds
+   * @param refusals refusals per request
+   * @param inTimeBySecond complete answers in time, by second of the run
    */
   record Result(
       double goodput,
@@ -287,5 +295,5 @@
       double amplification,
       double refusalMillis,
       double refusals,
-      List<Double> goodPerSecond) {}
+      List<Double> inTimeBySecond) {}
 }
--- a/bench/src/main/java/dev/ibishub/bench/overload/package-info.java
+++ b/bench/src/main/java/dev/ibishub/bench/overload/package-info.java
@@ -1,2 +1,2 @@
-/** Measures what is answered in time when more is asked for than there is. */
+/** Measures goodput when demand exceeds capacity. */
 package dev.ibishub.bench.overload;
--- a/bench/src/main/java/dev/ibishub/bench/routing/RoutePolicies.java
+++ b/bench/src/main/java/dev/ibishub/bench/routing/RoutePolicies.java
@@ -15,18 +15,20 @@
 import java.util.Random;
 import java.util.Set;
 
-/** The project's router, the baselines and the limit. */
+/**
+ * The production router, the baselines, and an oracle that knows the actual state of all targets.
+ */
 final class RoutePolicies {
-  static final String OURS = "ibishub";
+  static final String IBISHUB = "ibishub";
   static final String ORACLE = "oracle";
 
   static final List<RoutePolicy.Kind> ALL =
       List.of(
           new RoutePolicy.Kind("random", (run, entry) -> atRandom(run, entry)),
-          new RoutePolicy.Kind("round robin", (run, entry) -> inTurns(run, entry)),
+          new RoutePolicy.Kind("round robin", (run, entry) -> roundRobin(run, entry)),
           new RoutePolicy.Kind("least connections", (run, entry) -> new LeastConnections(run)),
-          new RoutePolicy.Kind("consistent hashing", (run, entry) -> byHash(run)),
-          new RoutePolicy.Kind(OURS, (run, entry) -> new Ours(run, entry)),
+          new RoutePolicy.Kind("consistent hashing", (run, entry) -> consistentHashing(run)),
+          new RoutePolicy.Kind(IBISHUB, (run, entry) -> new IbishubPolicy(run, entry)),
           new RoutePolicy.Kind(ORACLE, (run, entry) -> oracle(run)));
 
   private RoutePolicies() {}
@@ -34,22 +36,22 @@
   private static RoutePolicy atRandom(RouteRun run, int entry) {
     Random random = new Random(run.seed() + entry);
     return (request, served, excluded) -> {
-      List<TargetModel> open = run.open(served, excluded);
-      return open.get(random.nextInt(open.size())).id();
+      List<TargetModel> available = run.available(served, excluded);
+      return available.get(random.nextInt(available.size())).id();
     };
   }
 
-  private static RoutePolicy inTurns(RouteRun run, int entry) {
+  private static RoutePolicy roundRobin(RouteRun run, int entry) {
     int[] next = {entry};
     return (request, served, excluded) -> {
-      List<TargetModel> open = run.open(served, excluded);
-      return open.get(next[0]++ % open.size()).id();
+      List<TargetModel> available = run.available(served, excluded);
+      return available.get(next[0]++ % available.size()).id();
     };
   }
 
-  private static RoutePolicy byHash(RouteRun run) {
+  private static RoutePolicy consistentHashing(RouteRun run) {
     return (request, served, excluded) ->
-        run.open(served, excluded).stream()
+        run.available(served, excluded).stream()
             .max(Comparator.comparingLong(target -> score(target.id(), request.prefixHash())))
             .orElseThrow()
             .id();
@@ -62,7 +64,7 @@
 
   private static RoutePolicy oracle(RouteRun run) {
     return (request, served, excluded) ->
-        run.open(served, excluded).stream()
+        run.available(served, excluded).stream()
             .min(Comparator.comparingDouble(target -> target.firstTokenSeconds(request)))
             .orElseThrow()
             .id();
@@ -78,7 +80,7 @@
 
     @Override
     public String choose(ModelRequest request, String served, Set<String> excluded) {
-      return run.open(served, excluded).stream()
+      return run.available(served, excluded).stream()
           .map(TargetModel::id)
           .min(Comparator.comparingInt(target -> connections.getOrDefault(target, 0)))
           .orElseThrow();
@@ -90,13 +92,13 @@
     }
   }
 
-  private static final class Ours implements RoutePolicy {
+  private static final class IbishubPolicy implements RoutePolicy {
     private final RouteRun run;
     private final String zone;
     private final Random random;
     private final Router router = Router.create(RouterOptions.defaults());
 
-    Ours(RouteRun run, int entry) {
+    IbishubPolicy(RouteRun run, int entry) {
       this.run = run;
       this.zone = RouteRun.zone(entry);
       this.random = new Random(run.seed() + entry);
--- a/bench/src/main/java/dev/ibishub/bench/routing/RoutePolicy.java
+++ b/bench/src/main/java/dev/ibishub/bench/routing/RoutePolicy.java
@@ -5,34 +5,34 @@
 import java.util.Collection;
 import java.util.Set;
 
-/** A way to choose targets at one entry. */
+/** A policy by which one entry chooses targets. */
 interface RoutePolicy {
-  /** Chooses among the targets that are not excluded. */
+  /** Returns the target for a request, among those that are not excluded. */
   String choose(ModelRequest request, String served, Set<String> excluded);
 
-  /** Takes a late report. */
+  /** Handles a status report, which may be stale. */
   default void report(TargetStatus status) {}
 
-  /** Takes late cache events. */
+  /** Handles prefixes that a target added to its cache, reported late. */
   default void cached(String target, Collection<Long> added) {}
 
-  /** Notes the end of an attempt. */
+  /** Handles the end of an attempt. */
   default void ended(String target, ModelRequest request, boolean failed) {}
 
-  /** Notes that a target is gone. */
+  /** Handles the removal of a target. */
   default void removed(String target) {}
 
   /**
-   * How policies are created for an entry.
+   * A named kind of policy.
    *
-   * @param name in the table
-   * @param create makes the policy of one entry
+   * @param name name in the table
+   * @param create creates the policy of one entry
    */
   record Kind(String name, Factory create) {}
 
-  /** Makes the policy of one entry. */
+  /** Creates the policy of one entry. */
   interface Factory {
-    /** Creates a policy in a run. */
+    /** Creates the policy of the given entry for a run. */
     RoutePolicy create(RouteRun run, int entry);
   }
 }
--- a/bench/src/main/java/dev/ibishub/bench/routing/RouteResult.java
+++ b/bench/src/main/java/dev/ibishub/bench/routing/RouteResult.java
@@ -3,14 +3,14 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * What one run measured after its warm-up.
+ * The results of a run, without its warm-up.
  *
  * @param firstToken time to first token, in microseconds
  * @param betweenTokens mean time between the tokens of each answer, in microseconds
  * @param hitRate share of prompts whose prefix was cached
- * @param imbalance most tokens of one target over the mean
- * @param slowShare share of the tokens that the slow target served
- * @param failedAttempts attempts that failed, for each request
+ * @param imbalance maximum tokens of one target over the mean
+ * @param slowShare share of the tokens served by the target that {@link Scenario} may slow down
+ * @param failedAttempts failed attempts per request
  */
 record RouteResult(
     Histogram firstToken,
--- a/bench/src/main/java/dev/ibishub/bench/routing/RouteRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/routing/RouteRun.java
@@ -18,37 +18,37 @@
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
 
-/** One scenario under one policy. Not thread-safe. */
+/** Simulation of one scenario under one policy. Not thread-safe. */
 final class RouteRun {
-  static final double WARM_UP = 10;
-  static final double END = 40;
+  static final double WARM_UP_SECONDS = 10;
+  static final double END_SECONDS = 40;
   private static final int TARGETS = 16;
   static final int ENTRIES = 6;
   private static final int ZONES = 3;
-  private static final int PROMPT = 600;
-  private static final int OUTPUT = 100;
-  private static final int PREFIXES = 300;
-  private static final double REPORT_PERIOD = 0.2;
-  private static final double CACHE_LAG = 0.5;
-  private static final double CACHE_LOSS = 0.2;
-  private static final double LINK_BREAKS_AFTER = 0.5;
-  private static final double REMOVED_AFTER = 1;
-  private static final double MICROS = 1e6;
+  private static final int PROMPT_TOKENS = 600;
+  private static final int OUTPUT_TOKENS = 100;
+  private static final int PREFIXES_PER_NAME = 300;
+  private static final double REPORT_PERIOD_SECONDS = 0.2;
+  private static final double CACHE_REPORT_DELAY_SECONDS = 0.5;
+  private static final double CACHE_REPORT_LOSS_RATE = 0.2;
+  private static final double LINK_FAILURE_DELAY_SECONDS = 0.5;
+  private static final double REMOVAL_DELAY_SECONDS = 1;
+  private static final double MICROS_PER_SECOND = 1e6;
 
   private final EventQueue events = new EventQueue();
   private final Scenario scenario;
   private final long seed;
   private final Random random;
   private final Map<String, TargetModel> targets = new LinkedHashMap<>();
-  private final List<TargetModel> open = new ArrayList<>();
+  private final List<TargetModel> registered = new ArrayList<>();
   private final Set<String> dead = new HashSet<>();
   private final List<RoutePolicy> policies;
   private final Map<ModelRequest, String> sentTo = new LinkedHashMap<>();
-  private final Map<String, Double> tokensOf = new HashMap<>();
+  private final Map<String, Double> tokensByTarget = new HashMap<>();
   private final Histogram firstToken = new Histogram(3);
   private final Histogram betweenTokens = new Histogram(3);
   private int failedAttempts;
-  private int arrivedRequests;
+  private int requests;
 
   private RouteRun(RoutePolicy.Kind kind, Scenario scenario, long seed) {
     this.scenario = scenario;
@@ -61,7 +61,7 @@
   }
 
   static RouteResult run(RoutePolicy.Kind kind, Scenario scenario, long seed) {
-    return new RouteRun(kind, scenario, seed).go();
+    return new RouteRun(kind, scenario, seed).simulate();
   }
 
   static String zone(int number) {
@@ -85,67 +85,73 @@
   }
 
   List<TargetModel> targets() {
-    return open;
+    return registered;
   }
 
-  /** Targets that serve a name and take work as far as anybody can know. */
-  List<TargetModel> open(String served, Set<String> excluded) {
-    return open.stream()
+  /**
+   * Returns the targets that serve a name and are not known to be leaving or removed. A dead target
+   * stays until its removal.
+   */
+  List<TargetModel> available(String served, Set<String> excluded) {
+    return registered.stream()
         .filter(target -> !target.isLeaving() && target.serves(served))
         .filter(target -> !excluded.contains(target.id()))
         .toList();
   }
 
-  /** Adds a target that serves what another one serves. */
-  void join(String id, String like) {
-    TargetModel old = targets.get(like);
-    add(id, old.zone(), old.served());
+  /** Adds a target that has the zone and the served names of another one. */
+  void addLike(String id, String templateId) {
+    TargetModel template = targets.get(templateId);
+    add(id, template.zone(), template.served());
     deliver(targets.get(id).status());
   }
 
-  /** Lets a target die; the entries notice when links break, and drop it after a while. */
+  /** Crashes a target; its attempts fail when links break, and the entries remove it later. */
   void kill(String id) {
     dead.add(id);
-    targets.get(id).engine().die();
-    events.after(LINK_BREAKS_AFTER, () -> failAllAt(id));
+    targets.get(id).engine().crash();
+    events.after(LINK_FAILURE_DELAY_SECONDS, () -> failAllAt(id));
     events.after(
-        REMOVED_AFTER,
+        REMOVAL_DELAY_SECONDS,
         () -> {
-          open.remove(targets.get(id));
+          registered.remove(targets.get(id));
           policies.forEach(policy -> policy.removed(id));
         });
   }
 
-  private RouteResult go() {
+  private RouteResult simulate() {
     targets.values().forEach(target -> deliver(target.status()));
-    events.every(REPORT_PERIOD, this::reportAll);
-    double effectivePrompt = PROMPT * (1 - 0.6 * EngineParameters.defaults().prefixShare());
+    events.every(REPORT_PERIOD_SECONDS, this::reportAll);
+    double effectivePrompt = PROMPT_TOKENS * (1 - 0.6 * EngineParameters.defaults().prefixShare());
     double rate =
         scenario.load()
             * TARGETS
-            * EngineParameters.defaults().capacity(effectivePrompt, OUTPUT)
-            / (OUTPUT + ModelRequest.PROMPT_TOKEN_COST * effectivePrompt);
+            * EngineParameters.defaults().capacity(effectivePrompt, OUTPUT_TOKENS)
+            / (OUTPUT_TOKENS + ModelRequest.PROMPT_TOKEN_COST * effectivePrompt);
     scenario.disturbance().accept(this);
     List.of("model", "adapter-a", "adapter-b")
-        .forEach(served -> workload(served, rate).send(events, random, 0, END, this::arrived));
-    events.runUntil(END);
-    double mean = tokensOf.values().stream().mapToDouble(tokens -> tokens).average().orElse(1);
-    double most = tokensOf.values().stream().mapToDouble(tokens -> tokens).max().orElse(1);
-    double all = mean * tokensOf.size();
+        .forEach(
+            served -> workload(served, rate).send(events, random, 0, END_SECONDS, this::arrived));
+    events.runUntil(END_SECONDS);
+    double mean =
+        tokensByTarget.values().stream().mapToDouble(tokens -> tokens).average().orElse(1);
+    double max = tokensByTarget.values().stream().mapToDouble(tokens -> tokens).max().orElse(1);
+    double total = mean * tokensByTarget.size();
     long lookups = targets.values().stream().mapToLong(t -> t.engine().prefixLookups()).sum();
     long hits = targets.values().stream().mapToLong(t -> t.engine().prefixHits()).sum();
     return new RouteResult(
         firstToken,
         betweenTokens,
         (double) hits / lookups,
-        most / mean,
-        tokensOf.getOrDefault(Scenario.SLOW_TARGET, 0.0) / all,
-        (double) failedAttempts / arrivedRequests);
+        max / mean,
+        tokensByTarget.getOrDefault(Scenario.SLOW_TARGET, 0.0) / total,
+        (double) failedAttempts / requests);
   }
 
   private static Workload workload(String served, double rate) {
     double share = served.equals("model") ? 0.6 : 0.2;
-    return new Workload(served, 1, rate * share, PROMPT, OUTPUT, PREFIXES, 1e6);
+    return new Workload(
+        served, 1, rate * share, PROMPT_TOKENS, OUTPUT_TOKENS, PREFIXES_PER_NAME, 1e6);
   }
 
   private static Set<String> served(int number) {
@@ -170,11 +176,11 @@
             TargetModel.Discipline.FIRST_IN_FIRST_OUT,
             this::ended);
     targets.put(id, target);
-    open.add(target);
+    registered.add(target);
   }
 
   private void arrived(ModelRequest request, double draw) {
-    arrivedRequests++;
+    requests++;
     dispatch(request, (int) (draw * ENTRIES), Set.of());
   }
 
@@ -184,7 +190,7 @@
     if (!dead.contains(chosen)) {
       targets.get(chosen).submit(request);
     } else {
-      events.after(LINK_BREAKS_AFTER, () -> fail(request, chosen));
+      events.after(LINK_FAILURE_DELAY_SECONDS, () -> fail(request, chosen));
     }
   }
 
@@ -207,12 +213,12 @@
   private void ended(ModelRequest request) {
     String target = sentTo.remove(request);
     policies.get(random.nextInt(ENTRIES)).ended(target, request, false);
-    if (request.arrivedAt() < WARM_UP) {
+    if (request.arrivedAt() < WARM_UP_SECONDS) {
       return;
     }
-    tokensOf.merge(target, request.actualTokens(), Double::sum);
-    firstToken.recordValue((long) (request.firstTokenSeconds() * MICROS));
-    betweenTokens.recordValue((long) (request.secondsBetweenTokens() * MICROS));
+    tokensByTarget.merge(target, request.actualTokens(), Double::sum);
+    firstToken.recordValue((long) (request.firstTokenSeconds() * MICROS_PER_SECOND));
+    betweenTokens.recordValue((long) (request.secondsBetweenTokens() * MICROS_PER_SECOND));
   }
 
   private void reportAll() {
@@ -222,18 +228,18 @@
             target -> {
               TargetStatus status = target.status();
               events.after(scenario.lagSeconds(), () -> deliver(status));
-              cacheEvents(target);
+              reportNewPrefixes(target);
             });
   }
 
-  private void cacheEvents(TargetModel target) {
-    List<Long> news =
-        target.engine().takeCacheNews().stream()
-            .filter(prefix -> random.nextDouble() >= CACHE_LOSS)
+  private void reportNewPrefixes(TargetModel target) {
+    List<Long> newPrefixes =
+        target.engine().takeNewPrefixes().stream()
+            .filter(prefix -> random.nextDouble() >= CACHE_REPORT_LOSS_RATE)
             .toList();
     events.after(
-        scenario.lagSeconds() + CACHE_LAG,
-        () -> policies.forEach(policy -> policy.cached(target.id(), news)));
+        scenario.lagSeconds() + CACHE_REPORT_DELAY_SECONDS,
+        () -> policies.forEach(policy -> policy.cached(target.id(), newPrefixes)));
   }
 
   private void deliver(TargetStatus status) {
--- a/bench/src/main/java/dev/ibishub/bench/routing/RoutingBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/routing/RoutingBench.java
@@ -9,9 +9,9 @@
 import java.util.Locale;
 import java.util.stream.IntStream;
 
-/** The router against baselines and perfect knowledge, in each scenario. */
+/** Compares the router with baselines and an oracle in each scenario. */
 public final class RoutingBench implements Bench {
-  private static final double AIM = 1.15;
+  private static final double MAX_RATIO_TO_ORACLE = 1.15;
   private static final List<String> COLUMNS =
       List.of(
           "policy",
@@ -56,7 +56,7 @@
             scenario.lagSeconds(),
             scenario.load());
     return new BenchTable(
-        title, COLUMNS, of(scenario, runs).stream().map(RoutingBench::row).toList());
+        title, COLUMNS, runsOf(scenario, runs).stream().map(RoutingBench::row).toList());
   }
 
   private static List<Object> row(Run run) {
@@ -98,23 +98,23 @@
   }
 
   private static BenchAim aim(Scenario scenario, List<Run> runs) {
-    double ours = result(scenario, RoutePolicies.OURS, runs).firstTokenMillis(95);
+    double ours = result(scenario, RoutePolicies.IBISHUB, runs).firstTokenMillis(95);
     double oracle = result(scenario, RoutePolicies.ORACLE, runs).firstTokenMillis(95);
     return new BenchAim(
         scenario.name() + ": p95 to first token within 15 % of the oracle",
         String.format(Locale.ROOT, "%.2f", ours / oracle),
-        ours <= AIM * oracle);
+        ours <= MAX_RATIO_TO_ORACLE * oracle);
   }
 
   private static RouteResult result(Scenario scenario, String policy, List<Run> runs) {
-    return of(scenario, runs).stream()
+    return runsOf(scenario, runs).stream()
         .filter(run -> run.kind().name().equals(policy))
         .findFirst()
         .orElseThrow()
         .result();
   }
 
-  private static List<Run> of(Scenario scenario, List<Run> runs) {
+  private static List<Run> runsOf(Scenario scenario, List<Run> runs) {
     return runs.stream().filter(run -> run.scenario().name().equals(scenario.name())).toList();
   }
 
--- a/bench/src/main/java/dev/ibishub/bench/routing/Scenario.java
+++ b/bench/src/main/java/dev/ibishub/bench/routing/Scenario.java
@@ -6,12 +6,12 @@
 import java.util.stream.IntStream;
 
 /**
- * What happens in a run.
+ * The conditions of a run.
  *
- * @param name in the table
- * @param lagSeconds how late reports are
- * @param load share of the capacity that is asked for
- * @param disturbance schedules what goes wrong
+ * @param name name in the table
+ * @param lagSeconds delay of reports
+ * @param load demand as a share of the capacity
+ * @param disturbance schedules the faults of the run
  */
 record Scenario(String name, double lagSeconds, double load, Consumer<RouteRun> disturbance) {
   static final String SLOW_TARGET = "target-3";
@@ -19,34 +19,35 @@
 
   static List<Scenario> all() {
     return List.of(
-        new Scenario("lag 0 s", 0, 0.8, Scenario::nothing),
-        new Scenario("lag 0.5 s", 0.5, 0.8, Scenario::nothing),
-        new Scenario("lag 1 s", 1, 0.8, Scenario::nothing),
-        new Scenario("lag 2 s", 2, 0.8, Scenario::nothing),
-        new Scenario("slow target", 0.5, 0.7, Scenario::slowTarget),
-        new Scenario("targets come and go", 0.5, 0.7, Scenario::comeAndGo),
-        new Scenario("domain lost", 0.5, 0.5, Scenario::domainLost));
+        new Scenario("lag 0 s", 0, 0.8, Scenario::undisturbed),
+        new Scenario("lag 0.5 s", 0.5, 0.8, Scenario::undisturbed),
+        new Scenario("lag 1 s", 1, 0.8, Scenario::undisturbed),
+        new Scenario("lag 2 s", 2, 0.8, Scenario::undisturbed),
+        new Scenario("slow target", 0.5, 0.7, Scenario::slowDownTarget),
+        new Scenario("targets come and go", 0.5, 0.7, Scenario::replaceTargets),
+        new Scenario("domain lost", 0.5, 0.5, Scenario::loseDomain));
   }
 
-  private static void nothing(RouteRun run) {}
+  private static void undisturbed(RouteRun run) {}
 
-  private static void slowTarget(RouteRun run) {
-    run.at(RouteRun.WARM_UP, () -> run.target(SLOW_TARGET).engine().slowDown(SLOWDOWN));
+  private static void slowDownTarget(RouteRun run) {
+    run.at(RouteRun.WARM_UP_SECONDS, () -> run.target(SLOW_TARGET).engine().slowDown(SLOWDOWN));
   }
 
-  private static void comeAndGo(RouteRun run) {
+  private static void replaceTargets(RouteRun run) {
     IntStream.range(0, 4)
         .forEach(
             number -> {
               String old = "target-" + (2 + 3 * number);
-              run.at(RouteRun.WARM_UP + 5 * number, () -> run.target(old).leave());
-              run.at(RouteRun.WARM_UP + 5 * number, () -> run.join("new-" + number, old));
+              run.at(RouteRun.WARM_UP_SECONDS + 5 * number, () -> run.target(old).leave());
+              run.at(
+                  RouteRun.WARM_UP_SECONDS + 5 * number, () -> run.addLike("new-" + number, old));
             });
   }
 
-  private static void domainLost(RouteRun run) {
+  private static void loseDomain(RouteRun run) {
     run.at(
-        RouteRun.WARM_UP + 5,
+        RouteRun.WARM_UP_SECONDS + 5,
         () ->
             List.copyOf(run.targets()).stream()
                 .filter(target -> target.zone().equals(RouteRun.zone(1)))
--- a/bench/src/main/java/dev/ibishub/bench/routing/package-info.java
+++ b/bench/src/main/java/dev/ibishub/bench/routing/package-info.java
@@ -1,2 +1,2 @@
-/** Measures how targets are chosen on late and partial knowledge. */
+/** Measures the choice of targets on stale and incomplete reports. */
 package dev.ibishub.bench.routing;
