--- a/bench/src/main/java/dev/ibishub/bench/limits/LimitsBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/limits/LimitsBench.java
@@ -12,8 +12,8 @@
 import java.util.stream.LongStream;
 
 /**
- * Ways to keep limits that targets name for all entries together: the most that reaches a target,
- * and how much of the limits is used.
+ * Compares ways to keep rate limits that targets announce for all entries together, by the maximum
+ * rate that reaches a target and the share of the limits that is used.
  */
 public final class LimitsBench implements Bench {
   static final List<LimitRun.Scenario> SCENARIOS =
@@ -29,12 +29,12 @@
   private static final int SEEDS = 5;
 
   /** Gives the whole limit to each entry. */
-  static final LimitDivision ALONE = (own, hosts, life, limit) -> limit;
+  static final LimitDivision UNDIVIDED = (own, hosts, life, limit) -> limit;
 
   /** Divides the limit between all entries. */
-  static final LimitDivision EVENLY = (own, hosts, life, limit) -> limit / hosts.size();
+  static final LimitDivision EVEN_DIVISION = (own, hosts, life, limit) -> limit / hosts.size();
 
-  private record Way(LimitDivision division, boolean isKept) {}
+  private record Strategy(LimitDivision division, boolean isEnforced) {}
 
   @Override
   public String name() {
@@ -43,19 +43,20 @@
 
   @Override
   public BenchReport run(long seed) {
-    Map<String, Way> ways = new LinkedHashMap<>();
-    ways.put("not heeded", new Way(ALONE, false));
-    ways.put("each entry alone", new Way(ALONE, true));
-    ways.put("evenly between all", new Way(EVENLY, true));
-    ways.put("few holders (standing)", new Way(LimitDivision.amongFewHolders(), true));
+    Map<String, Strategy> strategies = new LinkedHashMap<>();
+    strategies.put("not heeded", new Strategy(UNDIVIDED, false));
+    strategies.put("each entry alone", new Strategy(UNDIVIDED, true));
+    strategies.put("evenly between all", new Strategy(EVEN_DIVISION, true));
+    strategies.put("few holders (standing)", new Strategy(LimitDivision.amongFewHolders(), true));
     List<BenchTable> tables =
-        SCENARIOS.stream().map(scenario -> table(scenario, ways, seed)).toList();
+        SCENARIOS.stream().map(scenario -> table(scenario, strategies, seed)).toList();
     return new BenchReport(tables, List.of(), List.of());
   }
 
-  private static BenchTable table(LimitRun.Scenario scenario, Map<String, Way> ways, long seed) {
+  private static BenchTable table(
+      LimitRun.Scenario scenario, Map<String, Strategy> strategies, long seed) {
     List<List<Object>> rows = new ArrayList<>();
-    ways.forEach((name, way) -> rows.add(row(name, way, scenario, seed)));
+    strategies.forEach((name, strategy) -> rows.add(row(name, strategy, scenario, seed)));
     return new BenchTable(
         "%d entries, %d of %d targets name %s a second, %.0f requests a second; %d runs of 60 s"
             .formatted(
@@ -69,14 +70,17 @@
         rows);
   }
 
-  private static List<Object> row(String name, Way way, LimitRun.Scenario scenario, long seed) {
+  private static List<Object> row(
+      String name, Strategy strategy, LimitRun.Scenario scenario, long seed) {
     List<LimitRun.Outcome> outcomes =
         LongStream.range(seed, seed + SEEDS)
-            .mapToObj(each -> new LimitRun(scenario, way.division(), way.isKept(), each).play())
+            .mapToObj(
+                each ->
+                    new LimitRun(scenario, strategy.division(), strategy.isEnforced(), each).run())
             .toList();
     return List.of(
         name,
-        outcomes.stream().mapToLong(LimitRun.Outcome::most).max().orElseThrow(),
+        outcomes.stream().mapToLong(LimitRun.Outcome::maxArrivals).max().orElseThrow(),
         outcomes.get(0).allowed(),
         mean(outcomes.stream().mapToDouble(LimitRun.Outcome::used).toArray()),
         mean(outcomes.stream().mapToDouble(LimitRun.Outcome::refused).toArray()));
--- a/bench/src/main/java/dev/ibishub/bench/limits/package-info.java
+++ b/bench/src/main/java/dev/ibishub/bench/limits/package-info.java
@@ -1,2 +1,2 @@
-/** How well entries keep the limits that targets name for all of them together. */
+/** Measures how well entries together keep the request rate limits that targets announce. */
 package dev.ibishub.bench.limits;
--- a/bench/src/test/java/dev/ibishub/bench/limits/LimitRunTest.java
+++ b/bench/src/test/java/dev/ibishub/bench/limits/LimitRunTest.java
@@ -13,16 +13,16 @@
 
   static final List<LimitRun.Scenario> SCENARIOS = LimitsBench.SCENARIOS;
 
-  // Guards against a limit that is overspent as entries are killed, start anew and hear late.
+  // Guards against limits exceeded while entries are killed, restarted and informed late.
   @ParameterizedTest
   @FieldSource("SCENARIOS")
-  void limitHoldsWhileEntriesComeAndGo(LimitRun.Scenario scenario) {
+  void limitHoldsWhileEntriesAreKilledAndRestarted(LimitRun.Scenario scenario) {
     LongStream.rangeClosed(1, SEEDS)
         .forEach(
             seed -> {
               LimitRun.Outcome outcome =
-                  new LimitRun(scenario, LimitDivision.amongFewHolders(), true, seed).play();
-              assertThat((double) outcome.most())
+                  new LimitRun(scenario, LimitDivision.amongFewHolders(), true, seed).run();
+              assertThat((double) outcome.maxArrivals())
                   .as("%s, seed %d", scenario, seed)
                   .isLessThanOrEqualTo(outcome.allowed());
             });
