--- a/bench/src/main/java/dev/ibishub/bench/capacity/AgentMeasures.java
+++ b/bench/src/main/java/dev/ibishub/bench/capacity/AgentMeasures.java
@@ -6,7 +6,7 @@
 import java.time.Instant;
 import java.util.List;
 
-/** What an agent's state and decisions cost. */
+/** Measures the cost of an agent's state and decisions. */
 final class AgentMeasures {
   private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
   private static final int[] WORKSPACES = {10, 100, 1000, 11_000};
--- a/bench/src/main/java/dev/ibishub/bench/capacity/CapacityBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/capacity/CapacityBench.java
@@ -9,7 +9,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.Stream;
 
-/** The slopes that docs/CAPACITY.md is worked out from. */
+/** Measures the slopes from which docs/CAPACITY.md is computed. */
 public final class CapacityBench implements Bench {
   @Override
   public String name() {
@@ -36,18 +36,18 @@
   }
 
   private static List<Object> row(Measure measure) {
-    Slope slope = measure.slope();
+    LinearFit fit = measure.fit();
     return List.of(
         measure.name(),
         measure.unit(),
-        measure.of(),
+        measure.sizeName(),
         measure.points().stream().map(CapacityBench::label).collect(Collectors.joining(", ")),
-        slope.base(),
-        String.format(Locale.ROOT, "%.4g %s", slope.perUnit(), measure.growth().label()),
-        String.format(Locale.ROOT, "%.0f %%", 100 * slope.residual()));
+        fit.base(),
+        String.format(Locale.ROOT, "%.4g %s", fit.perUnit(), measure.growth().label()),
+        String.format(Locale.ROOT, "%.0f %%", 100 * fit.residual()));
   }
 
-  private static String label(Slope.Point point) {
+  private static String label(LinearFit.Point point) {
     return String.format(Locale.ROOT, "%.0f: %.4g", point.size(), point.value());
   }
 
--- a/bench/src/main/java/dev/ibishub/bench/capacity/EntryMeasures.java
+++ b/bench/src/main/java/dev/ibishub/bench/capacity/EntryMeasures.java
@@ -22,14 +22,14 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** What an entry's state and decisions cost. */
+/** Measures the cost of an entry's state and decisions. */
 final class EntryMeasures {
   private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
   private static final int[] TARGETS = {16, 100, 1000, 4700};
   private static final int[] WORKSPACES = {10, 100, 1000, 11_000};
   private static final int[] MEMBERS = {7, 40, 370, 5070};
   private static final int DECISIONS = 20_000;
-  private static final int FEW = 200;
+  private static final int FEW_CALLS = 200;
   private static final WorkspaceLimits LIMITS = new WorkspaceLimits(1e9, 1e9, 1000, 1);
 
   private EntryMeasures() {}
@@ -158,7 +158,8 @@
         call -> {
           RouteQuery query = new RouteQuery("model", "zone-0", call + 1, 200, Set.of());
           String chosen = router.choose(query, NOW, random).orElseThrow();
-          // Measured just now, or else what was sent would pile up behind one old report.
+          // The measurement time is now; otherwise sent requests would accumulate on top of a stale
+          // report.
           router.sent(chosen, 200, NOW);
           router.finished(chosen, 200, false, NOW, NOW);
           if (call % count == 0) {
@@ -213,13 +214,13 @@
 
   private static Probe.Cost collect(int count) {
     Admission admission = admission(count);
-    return Probe.costOf(FEW, call -> admission.usage(NOW));
+    return Probe.costOf(FEW_CALLS, call -> admission.usage(NOW));
   }
 
   private static Probe.Cost observe(int count) {
     Admission admission = admission(count);
     var usage = admission(count).usage(NOW);
-    return Probe.costOf(FEW, call -> admission.observePeerUsage("entry-1", usage, NOW));
+    return Probe.costOf(FEW_CALLS, call -> admission.observePeerUsage("entry-1", usage, NOW));
   }
 
   private static Admission admission(int count) {
@@ -239,18 +240,18 @@
 
   private static Probe.Cost digest(int count) {
     Membership membership = membership(count);
-    return Probe.costOf(FEW, call -> membership.digest(NOW.plusSeconds(60)));
+    return Probe.costOf(FEW_CALLS, call -> membership.digest(NOW.plusSeconds(60)));
   }
 
   private static Probe.Cost merge(int count) {
     Membership membership = membership(count);
     List<MemberRecord> digest = membership.digest(NOW.plusSeconds(60));
-    return Probe.costOf(FEW, call -> membership.merge(digest, NOW));
+    return Probe.costOf(FEW_CALLS, call -> membership.merge(digest, NOW));
   }
 
   private static Probe.Cost connect(int count) {
     Membership membership = membership(count);
-    return Probe.costOf(FEW, call -> membership.connectTo());
+    return Probe.costOf(FEW_CALLS, call -> membership.connectTo());
   }
 
   static Membership membership(int count) {
@@ -262,7 +263,7 @@
     return membership;
   }
 
-  /** One member in fourteen is an entry, as 370 are before 4,700 replicas. */
+  /** Returns a member; one in fourteen is an entry, the ratio of 370 entries to 4,700 replicas. */
   private static MemberRecord member(int number) {
     boolean entry = number % 14 == 0;
     return new MemberRecord(
--- a/bench/src/main/java/dev/ibishub/bench/capacity/LinearFit.java
+++ b/bench/src/main/java/dev/ibishub/bench/capacity/LinearFit.java
@@ -4,14 +4,14 @@
 import java.util.function.DoubleUnaryOperator;
 
 /**
- * A line through measured points by least squares.
+ * A least-squares line through measured points.
  *
  * @param base value at zero
- * @param perUnit slope
- * @param residual largest distance of a point from the line, over the largest value
+ * @param perUnit slope of the line
+ * @param residual maximum distance of a point from the line, over the maximum value
  */
-record Slope(double base, double perUnit, double residual) {
-  static Slope of(List<Point> points, DoubleUnaryOperator scale) {
+record LinearFit(double base, double perUnit, double residual) {
+  static LinearFit of(List<Point> points, DoubleUnaryOperator scale) {
     int count = points.size();
     double meanX = points.stream().mapToDouble(p -> scale.applyAsDouble(p.size())).sum() / count;
     double meanY = points.stream().mapToDouble(Point::value).sum() / count;
@@ -31,14 +31,14 @@
             .map(Math::abs)
             .max()
             .orElse(0);
-    return new Slope(base, perUnit, largest == 0 ? 0 : residual / largest);
+    return new LinearFit(base, perUnit, largest == 0 ? 0 : residual / largest);
   }
 
   /**
    * One measured value.
    *
-   * @param size of the installation
-   * @param value what was measured there
+   * @param size size at which the value was measured
+   * @param value measured value
    */
   record Point(double size, double value) {}
 }
--- a/bench/src/main/java/dev/ibishub/bench/capacity/Measure.java
+++ b/bench/src/main/java/dev/ibishub/bench/capacity/Measure.java
@@ -5,34 +5,40 @@
 import java.util.function.IntToDoubleFunction;
 
 /**
- * One value measured over several sizes.
+ * A value measured at several sizes.
  *
  * @param name what was measured
- * @param unit of the value
- * @param of what the size counts
- * @param growth linear or logarithmic
- * @param points as measured
+ * @param unit unit of the value
+ * @param sizeName what the size counts
+ * @param growth assumed growth of the value with the size
+ * @param points the measured points
  */
-record Measure(String name, String unit, String of, Growth growth, List<Slope.Point> points) {
+record Measure(
+    String name, String unit, String sizeName, Growth growth, List<LinearFit.Point> points) {
   static Measure over(
-      String name, String unit, String of, Growth growth, int[] sizes, IntToDoubleFunction value) {
-    // Not kept: the first run of code is slow until it is compiled.
+      String name,
+      String unit,
+      String sizeName,
+      Growth growth,
+      int[] sizes,
+      IntToDoubleFunction value) {
+    // Discarded: code is slow until the JVM has compiled it.
     double unused = value.applyAsDouble(sizes[0]);
     return new Measure(
         name,
         unit,
-        of,
+        sizeName,
         growth,
         Arrays.stream(sizes)
-            .mapToObj(size -> new Slope.Point(size, value.applyAsDouble(size)))
+            .mapToObj(size -> new LinearFit.Point(size, value.applyAsDouble(size)))
             .toList());
   }
 
-  Slope slope() {
-    return Slope.of(points, growth::scale);
+  LinearFit fit() {
+    return LinearFit.of(points, growth::scale);
   }
 
-  /** How a value is taken to grow. */
+  /** The assumed growth of a value with the size. */
   enum Growth {
     LINEAR("each"),
     LOGARITHMIC("each doubling");
--- a/bench/src/main/java/dev/ibishub/bench/capacity/MessageMeasures.java
+++ b/bench/src/main/java/dev/ibishub/bench/capacity/MessageMeasures.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** Sizes of the messages of control, as they go over the wire. */
+/** Measures the sizes of control messages on the wire. */
 public final class MessageMeasures {
   private static final Instant NOW = Instant.parse("2026-01-01T00:00:00Z");
   private static final int[] SERVED = {1, 2, 4, 8};
@@ -62,7 +62,7 @@
     return digestBytes(EntryMeasures.membership(members).digest(NOW.plusSeconds(60)));
   }
 
-  /** Bytes of a digest as one message. */
+  /** Returns the size of a digest message in bytes. */
   public static int digestBytes(List<MemberRecord> records) {
     MembershipDigest.Builder digest = MembershipDigest.newBuilder().setSender("entry-0");
     records.forEach(record -> digest.addMembers(member(record)));
--- a/bench/src/main/java/dev/ibishub/bench/capacity/Probe.java
+++ b/bench/src/main/java/dev/ibishub/bench/capacity/Probe.java
@@ -5,18 +5,18 @@
 import java.util.function.IntConsumer;
 import java.util.function.Supplier;
 
-/** Measures processor time, allocation and retained memory of this thread's work. */
+/** Measures processor time and allocation of the current thread, and retained memory. */
 final class Probe {
   private static final ThreadMXBean THREADS = (ThreadMXBean) ManagementFactory.getThreadMXBean();
   private static final int ROUNDS = 7;
-  private static final int COLLECTIONS = 3;
+  private static final int GARBAGE_COLLECTIONS = 3;
   private static final double NANOS_PER_MICRO = 1000;
 
   private Probe() {}
 
   /**
-   * Runs an action many times and takes the round that cost least, since other load on the machine
-   * only ever adds.
+   * Runs an action in several rounds and returns the minimum cost of a call, since other load on
+   * the machine can only add to it.
    */
   static Cost costOf(int calls, IntConsumer action) {
     double micros = Double.MAX_VALUE;
@@ -35,7 +35,7 @@
     return new Cost(micros, bytes);
   }
 
-  /** Bytes that what the supplier makes holds on to. */
+  /** Returns the bytes retained by the object that the supplier creates. */
   static double retainedBytes(Supplier<Object> supplier) {
     long before = usedBytes();
     Object kept = supplier.get();
@@ -47,7 +47,7 @@
   }
 
   private static long usedBytes() {
-    for (int collection = 0; collection < COLLECTIONS; collection++) {
+    for (int collection = 0; collection < GARBAGE_COLLECTIONS; collection++) {
       System.gc();
     }
     Runtime runtime = Runtime.getRuntime();
@@ -55,10 +55,10 @@
   }
 
   /**
-   * What one call costs.
+   * The cost of one call.
    *
    * @param micros processor time in microseconds
-   * @param bytes allocated
+   * @param bytes allocated bytes
    */
   record Cost(double micros, double bytes) {}
 }
--- a/bench/src/main/java/dev/ibishub/bench/membership/MembershipBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/membership/MembershipBench.java
@@ -5,7 +5,10 @@
 import dev.ibishub.bench.BenchTable;
 import java.util.List;
 
-/** What entries believe of each other, at three sizes; nothing in it is drawn at random. */
+/**
+ * Measures failure detection among entries at three sizes; deterministic, so the seed has no
+ * effect.
+ */
 public final class MembershipBench implements Bench {
   private static final List<Integer> SIZES = List.of(7, 40, 370);
 
@@ -33,13 +36,13 @@
   }
 
   private static List<Object> row(int entries) {
-    ViewRun.Result result = ViewRun.run(entries);
+    MembershipRun.Result result = MembershipRun.run(entries);
     return List.of(
         entries,
-        result.deadGoneSeconds(),
-        result.suspectedBlink(),
-        result.sleeperBackSeconds(),
-        result.cutKilled(),
+        result.deathDetectionSeconds(),
+        result.suspectedInShortPause(),
+        result.longPauseRecoverySeconds(),
+        result.suspectedOnOneWayCut(),
         result.bytesPerSecond());
   }
 }
--- a/bench/src/main/java/dev/ibishub/bench/membership/MembershipRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/membership/MembershipRun.java
@@ -14,34 +14,34 @@
 import java.util.stream.IntStream;
 
 /**
- * Entries that probe each other and exchange digests four times a second, while one dies, one is
- * paused for a moment, one for long, and one link is cut in one direction. The list of VMs names
- * all of them the whole time. Not thread-safe.
+ * Simulation of entries that probe each other and exchange digests four times a second, while one
+ * dies, one is paused briefly, one is paused for 5 s, and one link is cut in one direction. The
+ * list of VMs contains all entries throughout. Not thread-safe.
  */
-final class ViewRun {
-  private static final double PERIOD = 0.25;
-  private static final double DEATH = 8;
-  private static final double SHORT_PAUSE = 14;
-  private static final double LONG_PAUSE = 16;
-  private static final double LONG_PAUSE_END = 21;
-  private static final double CUT = 25;
-  private static final double END = 33;
+final class MembershipRun {
+  private static final double PERIOD_SECONDS = 0.25;
+  private static final double DEATH_SECOND = 8;
+  private static final double SHORT_PAUSE_SECOND = 14;
+  private static final double LONG_PAUSE_SECOND = 16;
+  private static final double LONG_PAUSE_END_SECOND = 21;
+  private static final double CUT_SECOND = 25;
+  private static final double END_SECOND = 33;
   private static final int DEAD = 0;
-  private static final int BLINKS = 1;
-  private static final int SLEEPS = 2;
-  private static final int DEAF = 3;
+  private static final int PAUSED_BRIEFLY = 1;
+  private static final int PAUSED_LONG = 2;
+  private static final int UNHEARD = 3;
 
   private final EventQueue events = new EventQueue();
   private final List<MemberRecord> records;
   private final List<Membership> views;
-  private final Set<Integer> suspectedBlink = new HashSet<>();
-  private double deadGoneAt = Double.NaN;
-  private double sleeperBackAt = Double.NaN;
-  private int cutKilled;
+  private final Set<Integer> suspectedInShortPause = new HashSet<>();
+  private double deathDetectedAt = Double.NaN;
+  private double longPauseRecoveredAt = Double.NaN;
+  private int suspectedOnOneWayCut;
   private double bytes;
 
-  private ViewRun(int entries) {
-    records = IntStream.range(0, entries).mapToObj(ViewRun::record).toList();
+  private MembershipRun(int entries) {
+    records = IntStream.range(0, entries).mapToObj(MembershipRun::record).toList();
     views =
         records.stream()
             .map(record -> Membership.create(record, MembershipOptions.defaults()))
@@ -49,75 +49,78 @@
   }
 
   static Result run(int entries) {
-    return new ViewRun(entries).go();
+    return new MembershipRun(entries).simulate();
   }
 
-  private Result go() {
+  private Result simulate() {
     views.forEach(
         view -> {
           view.listed(records, events.now());
           view.merge(records, events.now());
         });
-    events.every(PERIOD, this::round);
-    events.runUntil(END);
+    events.every(PERIOD_SECONDS, this::round);
+    events.runUntil(END_SECOND);
     return new Result(
-        deadGoneAt - DEATH,
-        suspectedBlink.size(),
-        sleeperBackAt - LONG_PAUSE_END,
-        cutKilled,
-        bytes / views.size() / END);
+        deathDetectedAt - DEATH_SECOND,
+        suspectedInShortPause.size(),
+        longPauseRecoveredAt - LONG_PAUSE_END_SECOND,
+        suspectedOnOneWayCut,
+        bytes / views.size() / END_SECOND);
   }
 
   private void round() {
-    IntStream.range(0, views.size()).filter(this::runs).forEach(this::tell);
-    look();
+    IntStream.range(0, views.size()).filter(this::isRunning).forEach(this::gossip);
+    observe();
   }
 
-  private void tell(int from) {
+  private void gossip(int from) {
     Membership view = views.get(from);
     List<MemberRecord> digest = view.digest(events.now());
     int size = MessageMeasures.digestBytes(digest);
     for (MemberRecord peer : view.connectTo()) {
       int to = Integer.parseInt(peer.id().substring("entry-".length()));
       bytes += size;
-      if (runs(to) && !isCut(to, from)) {
+      if (isRunning(to) && !isCut(to, from)) {
         view.heard(peer.id(), peer.incarnation(), events.now());
       } else {
         view.missed(peer.id(), events.now());
       }
-      if (runs(to) && !isCut(from, to)) {
+      if (isRunning(to) && !isCut(from, to)) {
         views.get(to).merge(digest, events.now());
       }
     }
   }
 
-  private void look() {
+  private void observe() {
     double now = events.seconds();
-    if (Double.isNaN(deadGoneAt) && now >= DEATH && all((view, at) -> !isLive(view, DEAD))) {
-      deadGoneAt = now;
+    if (Double.isNaN(deathDetectedAt)
+        && now >= DEATH_SECOND
+        && all((view, at) -> !isLive(view, DEAD))) {
+      deathDetectedAt = now;
     }
-    if (now >= SHORT_PAUSE && now < LONG_PAUSE) {
+    if (now >= SHORT_PAUSE_SECOND && now < LONG_PAUSE_SECOND) {
       IntStream.range(0, views.size())
-          .filter(at -> at != BLINKS && runs(at) && !isLive(views.get(at), BLINKS))
-          .forEach(suspectedBlink::add);
+          .filter(
+              at -> at != PAUSED_BRIEFLY && isRunning(at) && !isLive(views.get(at), PAUSED_BRIEFLY))
+          .forEach(suspectedInShortPause::add);
     }
-    if (Double.isNaN(sleeperBackAt)
-        && now >= LONG_PAUSE_END
-        && all((view, at) -> at == SLEEPS || isLive(view, SLEEPS))) {
-      sleeperBackAt = now;
+    if (Double.isNaN(longPauseRecoveredAt)
+        && now >= LONG_PAUSE_END_SECOND
+        && all((view, at) -> at == PAUSED_LONG || isLive(view, PAUSED_LONG))) {
+      longPauseRecoveredAt = now;
     }
-    if (now >= END - PERIOD) {
-      cutKilled =
+    if (now >= END_SECOND - PERIOD_SECONDS) {
+      suspectedOnOneWayCut =
           (int)
               IntStream.range(0, views.size())
-                  .filter(at -> at != DEAF && runs(at) && !isLive(views.get(at), DEAF))
+                  .filter(at -> at != UNHEARD && isRunning(at) && !isLive(views.get(at), UNHEARD))
                   .count();
     }
   }
 
   private boolean all(BiPredicate<Membership, Integer> condition) {
     return IntStream.range(0, views.size())
-        .filter(this::runs)
+        .filter(this::isRunning)
         .allMatch(at -> condition.test(views.get(at), at));
   }
 
@@ -127,19 +130,23 @@
         .isPresent();
   }
 
-  private boolean runs(int entry) {
+  private boolean isRunning(int entry) {
     double now = events.seconds();
     return switch (entry) {
-      case DEAD -> now < DEATH;
-      case BLINKS -> now < SHORT_PAUSE || now >= SHORT_PAUSE + 3 * PERIOD;
-      case SLEEPS -> now < LONG_PAUSE || now >= LONG_PAUSE_END;
+      case DEAD -> now < DEATH_SECOND;
+      case PAUSED_BRIEFLY ->
+          now < SHORT_PAUSE_SECOND || now >= SHORT_PAUSE_SECOND + 3 * PERIOD_SECONDS;
+      case PAUSED_LONG -> now < LONG_PAUSE_SECOND || now >= LONG_PAUSE_END_SECOND;
       default -> true;
     };
   }
 
-  /** One neighbour does not hear one entry any more, though that one hears it. */
+  /**
+   * Returns whether the link is cut: one neighbour no longer receives from one entry, which still
+   * receives from it.
+   */
   private boolean isCut(int from, int to) {
-    return events.seconds() >= CUT && from == DEAF && to == DEAF + 1;
+    return events.seconds() >= CUT_SECOND && from == UNHEARD && to == UNHEARD + 1;
   }
 
   private static MemberRecord record(int number) {
@@ -157,18 +164,21 @@
   }
 
   /**
-   * What was measured.
+   * The results of a run.
    *
-   * @param deadGoneSeconds until no entry takes the dead one for alive
-   * @param suspectedBlink entries that did not take one that paused for 0.75 s for alive
-   * @param sleeperBackSeconds until all take one that paused for 5 s for alive again
-   * @param cutKilled entries that do not take one for alive that a single neighbour cannot hear
-   * @param bytesPerSecond digests that an entry sends
+   * @param deathDetectionSeconds time from the death of an entry until none considers it alive
+   * @param suspectedInShortPause number of entries that did not consider the entry alive that was
+   *     paused for 0.75 s
+   * @param longPauseRecoverySeconds time from the end of the 5 s pause until all consider that
+   *     entry alive
+   * @param suspectedOnOneWayCut number of entries that do not consider the entry alive from which
+   *     one neighbour cannot receive
+   * @param bytesPerSecond mean bytes a second of digests that an entry sends
    */
   record Result(
-      double deadGoneSeconds,
-      int suspectedBlink,
-      double sleeperBackSeconds,
-      int cutKilled,
+      double deathDetectionSeconds,
+      int suspectedInShortPause,
+      double longPauseRecoverySeconds,
+      int suspectedOnOneWayCut,
       double bytesPerSecond) {}
 }
--- a/bench/src/main/java/dev/ibishub/bench/membership/package-info.java
+++ b/bench/src/main/java/dev/ibishub/bench/membership/package-info.java
@@ -1,2 +1,2 @@
-/** Measures how fast entries notice what became of each other. */
+/** Measures how fast entries detect failure and recovery of each other. */
 package dev.ibishub.bench.membership;
