--- a/bench/src/main/java/dev/ibishub/bench/crashes/BlamePolicy.java
+++ b/bench/src/main/java/dev/ibishub/bench/crashes/BlamePolicy.java
@@ -7,22 +7,28 @@
 import java.util.List;
 import java.util.Map;
 
-/** A way to decide which requests are sent to no further target. Times are milliseconds. */
+/**
+ * A policy that decides which requests to quarantine, that is, send to no further target. Times are
+ * in milliseconds.
+ */
 interface BlamePolicy {
-  /** Takes in a run that ended with an answer. */
+  /** Handles a run that ended with an answer. */
   void onCompleted(RequestIdentity request);
 
-  /** Takes in all that ran at a target as it crashed. */
-  void onCrash(List<CrashedRun> ranThere);
+  /** Handles a crash of a target, with all runs that were in flight there. */
+  void onCrash(List<CrashedRun> inFlight);
 
   boolean isQuarantined(RequestIdentity request, long now);
 
-  /** The retry rule alone: nothing is remembered. */
+  /** Returns a policy that never quarantines, so that only the retry limit applies. */
   static BlamePolicy none() {
     return counting(Integer.MAX_VALUE);
   }
 
-  /** Quarantines after so many crashes in any order, for good. */
+  /**
+   * Returns a policy that quarantines a request after the given number of crashes. Only an answer
+   * resets the count.
+   */
   static BlamePolicy counting(int crashes) {
     Map<RequestIdentity, Integer> counts = new HashMap<>();
     return new BlamePolicy() {
@@ -32,8 +38,8 @@
       }
 
       @Override
-      public void onCrash(List<CrashedRun> ranThere) {
-        ranThere.forEach(run -> counts.merge(run.request(), 1, Integer::sum));
+      public void onCrash(List<CrashedRun> inFlight) {
+        inFlight.forEach(run -> counts.merge(run.request(), 1, Integer::sum));
       }
 
       @Override
@@ -43,8 +49,8 @@
     };
   }
 
-  /** What entries do. */
-  static BlamePolicy inARow() {
+  /** Returns the policy that entries use. */
+  static BlamePolicy consecutive() {
     CrashBlame blame = new CrashBlame();
     return new BlamePolicy() {
       @Override
@@ -53,9 +59,9 @@
       }
 
       @Override
-      public void onCrash(List<CrashedRun> ranThere) {
-        ranThere.forEach(blame::onBroken);
-        ranThere.stream().findFirst().ifPresent(run -> blame.onCrashed(run.targetLife()));
+      public void onCrash(List<CrashedRun> inFlight) {
+        inFlight.forEach(blame::onBroken);
+        inFlight.stream().findFirst().ifPresent(run -> blame.onCrashed(run.targetLife()));
       }
 
       @Override
@@ -65,7 +71,7 @@
     };
   }
 
-  /** Quarantines what is more likely to be guilty than not, see {@link LikelihoodBlame}. */
+  /** Returns a policy that quarantines requests that are more likely guilty than not. */
   static BlamePolicy likelihood() {
     return new LikelihoodBlame();
   }
--- a/bench/src/main/java/dev/ibishub/bench/crashes/CrashRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/crashes/CrashRun.java
@@ -12,65 +12,70 @@
 import java.util.Set;
 import java.util.stream.IntStream;
 
-/** One run of a fleet of targets with guilty and innocent requests under one policy. */
+/**
+ * Simulation of targets that run guilty and innocent requests under one policy. A guilty request
+ * crashes its target.
+ */
 final class CrashRun {
   private static final double RUN_SECONDS = 2;
 
-  /** A guilty request takes its target down this long after it began to run. */
-  private static final double FUSE_SECONDS = 0.05;
+  /** Time from the start of a guilty request to the crash of its target. */
+  private static final double CRASH_DELAY_SECONDS = 0.05;
 
-  private static final double DOWN_SECONDS = 4.5;
+  private static final double DOWNTIME_SECONDS = 4.5;
   private static final double RESEND_SECONDS = 0.01;
   private static final double RETRY_SECONDS = 0.5;
-  private static final double COMES_AGAIN_SECONDS = 3;
-  private static final int RUNS_OF_AN_ATTEMPT = 2;
-  private static final int ATTEMPTS_OF_A_CALLER = 2;
-  private static final double MILLIS = 1_000;
-  private static final double SECONDS = 90;
+  private static final double GUILTY_PERIOD_SECONDS = 3;
+  private static final int MAX_RUNS_PER_ATTEMPT = 2;
+  private static final int MAX_ATTEMPTS = 2;
+  private static final double MILLIS_PER_SECOND = 1_000;
+  private static final double DURATION_SECONDS = 90;
 
   private final Scenario scenario;
   private final BlamePolicy policy;
   private final Random random;
   private final EventQueue clock = new EventQueue();
   private final Map<Integer, List<Running>> running = new HashMap<>();
-  private final int[] lives;
+  private final int[] incarnations;
   private final boolean[] isDown;
   private final Map<RequestIdentity, Integer> crashesCaused = new HashMap<>();
   private final Set<RequestIdentity> quarantined = new HashSet<>();
   private int innocents;
-  private int brokenOff;
+  private int interruptedRuns;
   private int failed;
 
   /**
-   * What is played.
+   * Parameters of a run.
    *
-   * @param beside requests that run at a target in the mean
-   * @param guilty requests that crash targets, each coming again and again
-   * @param crashingPart part of the targets that crash together by another cause each ten seconds
+   * @param inFlightPerTarget mean number of requests that run at a target
+   * @param guilty number of requests that crash targets; each is submitted repeatedly
+   * @param crashingShare share of the targets that crash together for another reason, every ten
+   *     seconds
    */
-  record Scenario(String name, int targets, double beside, int guilty, double crashingPart) {}
+  record Scenario(
+      String name, int targets, double inFlightPerTarget, int guilty, double crashingShare) {}
 
-  /** One caller's request on its way through attempts and runs. */
+  /** A caller's request with its current attempt and the runs of that attempt. */
   private record Request(RequestIdentity identity, boolean isGuilty, int attempt, int runs) {}
 
-  private record Running(Request request, long sentAt, Runnable onBroken) {}
+  private record Running(Request request, long sentAt, Runnable onInterrupted) {}
 
   CrashRun(Scenario scenario, BlamePolicy policy, long seed) {
     this.scenario = scenario;
     this.policy = policy;
     this.random = new Random(seed);
-    this.lives = new int[scenario.targets()];
+    this.incarnations = new int[scenario.targets()];
     this.isDown = new boolean[scenario.targets()];
   }
 
-  List<Object> play(String name) {
+  List<Object> run(String name) {
     arrive();
-    IntStream.range(0, scenario.guilty()).forEach(this::comeAgain);
-    clock.every(10, this::crashPart);
-    clock.runUntil(SECONDS);
-    int most = crashesCaused.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-    int all = crashesCaused.values().stream().mapToInt(Integer::intValue).sum();
-    return List.of(name, all, most, innocents, brokenOff, failed, quarantined.size());
+    IntStream.range(0, scenario.guilty()).forEach(this::sendGuilty);
+    clock.every(10, this::crashRandomTargets);
+    clock.runUntil(DURATION_SECONDS);
+    int mostByOne = crashesCaused.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+    int total = crashesCaused.values().stream().mapToInt(Integer::intValue).sum();
+    return List.of(name, total, mostByOne, innocents, interruptedRuns, failed, quarantined.size());
   }
 
   private static RequestIdentity identity(String name) {
@@ -78,7 +83,7 @@
   }
 
   private void arrive() {
-    double perSecond = scenario.targets() * scenario.beside() / RUN_SECONDS;
+    double perSecond = scenario.targets() * scenario.inFlightPerTarget() / RUN_SECONDS;
     clock.after(
         -Math.log(1 - random.nextDouble()) / perSecond,
         () -> {
@@ -88,23 +93,23 @@
         });
   }
 
-  private void comeAgain(int number) {
+  private void sendGuilty(int number) {
     clock.after(
-        COMES_AGAIN_SECONDS * random.nextDouble(),
+        GUILTY_PERIOD_SECONDS * random.nextDouble(),
         () -> {
           send(new Request(identity("guilty " + number), true, 1, 0));
-          clock.after(COMES_AGAIN_SECONDS, () -> comeAgain(number));
+          clock.after(GUILTY_PERIOD_SECONDS, () -> sendGuilty(number));
         });
   }
 
-  private void crashPart() {
+  private void crashRandomTargets() {
     IntStream.range(0, scenario.targets())
-        .filter(target -> random.nextDouble() < scenario.crashingPart())
+        .filter(target -> random.nextDouble() < scenario.crashingShare())
         .forEach(this::crash);
   }
 
   private long now() {
-    return (long) (clock.seconds() * MILLIS);
+    return (long) (clock.seconds() * MILLIS_PER_SECOND);
   }
 
   private void send(Request request) {
@@ -121,11 +126,11 @@
       return;
     }
     int target = up[random.nextInt(up.length)];
-    Request begun =
+    Request started =
         new Request(request.identity(), request.isGuilty(), request.attempt(), request.runs() + 1);
-    Running run = new Running(begun, now(), () -> goOn(begun));
+    Running run = new Running(started, now(), () -> retry(started));
     running.computeIfAbsent(target, any -> new ArrayList<>()).add(run);
-    clock.after(begun.isGuilty() ? FUSE_SECONDS : RUN_SECONDS, () -> end(target, run));
+    clock.after(started.isGuilty() ? CRASH_DELAY_SECONDS : RUN_SECONDS, () -> end(target, run));
   }
 
   private void end(int target, Running run) {
@@ -146,24 +151,25 @@
       return;
     }
     isDown[target] = true;
-    List<Running> ranThere = running.getOrDefault(target, List.of());
+    List<Running> inFlight = running.getOrDefault(target, List.of());
     running.remove(target);
-    String life = target + "@" + lives[target]++;
+    String incarnation = target + "@" + incarnations[target]++;
     policy.onCrash(
-        ranThere.stream()
-            .map(run -> new CrashedRun(run.request().identity(), life, run.sentAt(), now()))
+        inFlight.stream()
+            .map(run -> new CrashedRun(run.request().identity(), incarnation, run.sentAt(), now()))
             .toList());
-    brokenOff += (int) ranThere.stream().filter(run -> !run.request().isGuilty()).count();
-    ranThere.forEach(run -> clock.after(RESEND_SECONDS, run.onBroken()));
-    clock.after(DOWN_SECONDS, () -> isDown[target] = false);
+    interruptedRuns += (int) inFlight.stream().filter(run -> !run.request().isGuilty()).count();
+    inFlight.forEach(run -> clock.after(RESEND_SECONDS, run.onInterrupted()));
+    clock.after(DOWNTIME_SECONDS, () -> isDown[target] = false);
   }
 
-  private void goOn(Request request) {
-    if (request.runs() < RUNS_OF_AN_ATTEMPT) {
+  private void retry(Request request) {
+    if (request.runs() < MAX_RUNS_PER_ATTEMPT) {
       send(request);
-    } else if (request.attempt() < ATTEMPTS_OF_A_CALLER) {
-      Request again = new Request(request.identity(), request.isGuilty(), request.attempt() + 1, 0);
-      clock.after(RETRY_SECONDS, () -> send(again));
+    } else if (request.attempt() < MAX_ATTEMPTS) {
+      Request nextAttempt =
+          new Request(request.identity(), request.isGuilty(), request.attempt() + 1, 0);
+      clock.after(RETRY_SECONDS, () -> send(nextAttempt));
     } else {
       fail(request);
     }
--- a/bench/src/main/java/dev/ibishub/bench/crashes/CrashesBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/crashes/CrashesBench.java
@@ -9,8 +9,8 @@
 import java.util.function.Supplier;
 
 /**
- * Ways to find requests that crash the targets which run them: crashes until each is stopped, and
- * innocent requests that are refused for it.
+ * Compares ways to find requests that crash targets, by the crashes until each is stopped and the
+ * innocent requests that are refused.
  */
 public final class CrashesBench implements Bench {
   private static final List<CrashRun.Scenario> SCENARIOS =
@@ -33,7 +33,7 @@
     policies.put("retry rule alone", BlamePolicy::none);
     policies.put("one crash", () -> BlamePolicy.counting(1));
     policies.put("two crashes", () -> BlamePolicy.counting(2));
-    policies.put("two in a row (standing)", BlamePolicy::inARow);
+    policies.put("two in a row (standing)", BlamePolicy::consecutive);
     policies.put("likelihood", BlamePolicy::likelihood);
     List<BenchTable> tables =
         SCENARIOS.stream().map(scenario -> table(scenario, policies, seed)).toList();
@@ -46,7 +46,7 @@
         policies.entrySet().stream()
             .map(
                 policy ->
-                    new CrashRun(scenario, policy.getValue().get(), seed).play(policy.getKey()))
+                    new CrashRun(scenario, policy.getValue().get(), seed).run(policy.getKey()))
             .toList();
     return new BenchTable(
         scenario.name() + ", 90 s",
--- a/bench/src/main/java/dev/ibishub/bench/crashes/LikelihoodBlame.java
+++ b/bench/src/main/java/dev/ibishub/bench/crashes/LikelihoodBlame.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * Weighs how likely a request is to be guilty: a crash beside few others says more than one beside
- * many, and one says less where targets crash often anyway.
+ * Estimates the odds that a request is guilty. A crash counts more if few other requests were in
+ * flight, and less if targets crash often anyway.
  */
 final class LikelihoodBlame implements BlamePolicy {
-  /** Part of all requests that is taken to be guilty before anything is known. */
+  /** Assumed share of guilty requests among all. */
   private static final double PRIOR = 0.001;
 
   private final Map<RequestIdentity, Double> odds = new HashMap<>();
@@ -25,11 +25,11 @@
   }
 
   @Override
-  public void onCrash(List<CrashedRun> ranThere) {
-    runs += ranThere.size();
-    crashedRuns += ranThere.size();
-    double otherCause = crashedRuns / runs + PRIOR * (ranThere.size() - 1);
-    ranThere.forEach(
+  public void onCrash(List<CrashedRun> inFlight) {
+    runs += inFlight.size();
+    crashedRuns += inFlight.size();
+    double otherCause = crashedRuns / runs + PRIOR * (inFlight.size() - 1);
+    inFlight.forEach(
         run ->
             odds.compute(
                 run.request(),
--- a/bench/src/main/java/dev/ibishub/bench/crashes/package-info.java
+++ b/bench/src/main/java/dev/ibishub/bench/crashes/package-info.java
@@ -1,2 +1,5 @@
-/** How few crashes and how few wrong refusals the blame for crashed targets comes to. */
+/**
+ * Measures policies that quarantine requests which crash targets: crashes caused and innocent
+ * requests refused.
+ */
 package dev.ibishub.bench.crashes;
