--- a/bench/src/main/java/dev/ibishub/bench/experts/BalancedPlan.java
+++ b/bench/src/main/java/dev/ibishub/bench/experts/BalancedPlan.java
@@ -7,8 +7,8 @@
 import java.util.stream.IntStream;
 
 /**
- * The baseline that plans a group's map from nothing and then has each rank take the planned part
- * of which it holds most already.
+ * Baseline that plans a group's map from scratch, then assigns each part of the plan to the rank
+ * that already holds most of its experts.
  */
 final class BalancedPlan {
   private BalancedPlan() {}
@@ -19,36 +19,37 @@
         IntStream.range(0, experts.length)
             .mapToObj(
                 set ->
-                    matched(
+                    matchToRanks(
                         experts[set],
-                        FullReplan.parts(demand[set], even(experts[set].length), places)))
+                        FullReplan.parts(
+                            demand[set], uniformSlowness(experts[set].length), places)))
             .toArray(int[][][]::new));
   }
 
-  private static double[] even(int ranks) {
+  private static double[] uniformSlowness(int ranks) {
     return IntStream.range(0, ranks).mapToDouble(rank -> 1).toArray();
   }
 
-  /** Gives the parts to the ranks, the greatest overlap first. */
-  private static int[][] matched(int[][] held, int[][] parts) {
+  /** Assigns parts to ranks greedily, greatest overlap first. */
+  private static int[][] matchToRanks(int[][] held, int[][] parts) {
     int ranks = held.length;
     List<Pair> pairs =
         IntStream.range(0, ranks * ranks)
             .mapToObj(pair -> Pair.of(pair / ranks, pair % ranks, held, parts))
             .sorted(Comparator.comparingInt(pair -> -pair.overlap()))
             .toList();
-    int[][] matched = new int[ranks][];
-    boolean[] isGiven = new boolean[ranks];
+    int[][] assigned = new int[ranks][];
+    boolean[] isAssigned = new boolean[ranks];
     for (Pair pair : pairs) {
-      if (matched[pair.rank()] == null && !isGiven[pair.part()]) {
-        matched[pair.rank()] = Arrays.stream(parts[pair.part()]).distinct().sorted().toArray();
-        isGiven[pair.part()] = true;
+      if (assigned[pair.rank()] == null && !isAssigned[pair.part()]) {
+        assigned[pair.rank()] = Arrays.stream(parts[pair.part()]).distinct().sorted().toArray();
+        isAssigned[pair.part()] = true;
       }
     }
-    return matched;
+    return assigned;
   }
 
-  /** A rank, a planned part, and how many experts of the part the rank holds. */
+  /** A rank, a part, and the number of experts of the part that the rank holds. */
   private record Pair(int rank, int part, int overlap) {
     static Pair of(int rank, int part, int[][] held, int[][] parts) {
       int overlap = 0;
--- a/bench/src/main/java/dev/ibishub/bench/experts/ExpertsBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/experts/ExpertsBench.java
@@ -15,23 +15,24 @@
 import java.util.Locale;
 
 /**
- * Step-time skew and experts fetched over a day of drift, against never moving, planning anew every
- * ten minutes, and moving greedily every hour; the limit is a perfect balance, skew 1.
+ * Measures step-time skew and experts fetched over a day of drift. Baselines never move experts,
+ * plan from scratch at every planning time, or move greedily every hour. A perfect balance has skew
+ * 1.
  */
 public final class ExpertsBench implements Bench {
   private static final int EXPERTS = 128;
-  private static final int TICKS_AN_HOUR = 6;
+  private static final int TICKS_PER_HOUR = 6;
   private static final double EXPERT_GIGABYTES = 0.045;
-  private static final double NANOS_A_MILLI = 1e6;
+  private static final double NANOS_PER_MILLI = 1e6;
 
-  /** One way to rebalance. */
+  /** A rebalancing policy. */
   private interface Policy {
     ExpertMap next(int tick, ExpertMap map, double[][] popularity, double[] slowness);
   }
 
-  private record Named(String name, Policy policy) {}
+  private record NamedPolicy(String name, Policy policy) {}
 
-  private record Size(int layers, int ranks, int slots, int ticksApart) {}
+  private record Size(int layers, int ranks, int slots, int planIntervalTicks) {}
 
   private record Day(
       String name,
@@ -40,7 +41,7 @@
       long fetches,
       long fetchesNearDeadline,
       double slowestPlanMillis,
-      double mostPlanMegabytes,
+      double largestPlanMegabytes,
       List<Chart.Point> points) {}
 
   @Override
@@ -51,7 +52,7 @@
   @Override
   public BenchReport run(long seed) {
     List<Day> small = days(new Size(24, 16, 9, 1), seed);
-    List<Day> large = days(new Size(58, 256, 1, TICKS_AN_HOUR), seed);
+    List<Day> large = days(new Size(58, 256, 1, TICKS_PER_HOUR), seed);
     return new BenchReport(
         List.of(
             table("16 ranks, 24 layers of 128 experts, 9 slots a rank, every 10 minutes", small),
@@ -71,14 +72,16 @@
 
   private static List<Day> days(Size size, long seed) {
     return List.of(
-            new Named("never", (tick, map, popularity, slowness) -> map),
-            new Named(
+            new NamedPolicy("never", (tick, map, popularity, slowness) -> map),
+            new NamedPolicy(
                 "always full",
                 (tick, map, popularity, slowness) -> FullReplan.plan(map, popularity, slowness)),
-            new Named(
+            new NamedPolicy(
                 "periodic greedy", hourly(planner(new ExpertPlannerOptions(1, 1, 0, 1 << 30)))),
-            new Named("ibishub, even steps", planner(ExpertPlannerOptions.preferringEvenSteps())),
-            new Named("ibishub, few moves", planner(ExpertPlannerOptions.preferringFewMoves())))
+            new NamedPolicy(
+                "ibishub, even steps", planner(ExpertPlannerOptions.preferringEvenSteps())),
+            new NamedPolicy(
+                "ibishub, few moves", planner(ExpertPlannerOptions.preferringFewMoves())))
         .stream()
         .map(named -> day(named, size, seed))
         .toList();
@@ -87,8 +90,8 @@
   private static Policy planner(ExpertPlannerOptions options) {
     ExpertPlanner planner = ExpertPlanner.create(options);
     return (tick, map, popularity, slowness) -> {
-      boolean heeds = options.startSkew() > 1 && DriftingDay.deadlineNear(tick);
-      Instant quietUntil = heeds ? Instant.MAX : Instant.MIN;
+      boolean respectsDeadline = options.startSkew() > 1 && DriftingDay.isDeadlineNear(tick);
+      Instant quietUntil = respectsDeadline ? Instant.MAX : Instant.MIN;
       return planner
           .plan(map, popularity, slowness, quietUntil, Instant.EPOCH)
           .map(ExpertPlanner.Plan::map)
@@ -98,12 +101,12 @@
 
   private static Policy hourly(Policy policy) {
     return (tick, map, popularity, slowness) ->
-        tick % TICKS_AN_HOUR == 0 ? policy.next(tick, map, popularity, slowness) : map;
+        tick % TICKS_PER_HOUR == 0 ? policy.next(tick, map, popularity, slowness) : map;
   }
 
-  private static Day day(Named named, Size size, long seed) {
+  private static Day day(NamedPolicy named, Size size, long seed) {
     DriftingDay drift = new DriftingDay(size.layers(), EXPERTS, size.ranks(), seed);
-    // All start from the same map, planned for the popularity of the first tick.
+    // All policies start from the same map, planned for the popularity of the first tick.
     ExpertMap map =
         FullReplan.plan(
             ExpertMap.inTurn(size.layers(), size.ranks(), size.slots(), EXPERTS),
@@ -112,21 +115,23 @@
     List<Chart.Point> points = new ArrayList<>();
     long fetches = 0;
     long nearDeadline = 0;
-    double slowest = 0;
-    double most = 0;
-    for (int tick = size.ticksApart(); tick < DriftingDay.TICKS; tick += size.ticksApart()) {
+    double slowestMillis = 0;
+    double largestMegabytes = 0;
+    for (int tick = size.planIntervalTicks();
+        tick < DriftingDay.TICKS_PER_DAY;
+        tick += size.planIntervalTicks()) {
       double[][] reported = drift.reported(tick);
       long allocated = allocatedBytes();
       long started = System.nanoTime();
       ExpertMap next = named.policy().next(tick, map, reported, drift.slowness(tick - 1));
-      slowest = Math.max(slowest, (System.nanoTime() - started) / NANOS_A_MILLI);
-      most = Math.max(most, (allocatedBytes() - allocated) / 1e6);
+      slowestMillis = Math.max(slowestMillis, (System.nanoTime() - started) / NANOS_PER_MILLI);
+      largestMegabytes = Math.max(largestMegabytes, (allocatedBytes() - allocated) / 1e6);
       long fetched = next.fetchesFrom(map);
       fetches += fetched;
-      nearDeadline += DriftingDay.deadlineNear(tick) ? fetched : 0;
+      nearDeadline += DriftingDay.isDeadlineNear(tick) ? fetched : 0;
       map = next;
       double skew = ExpertPlanner.skew(map, drift.popularity(tick), drift.slowness(tick));
-      points.add(new Chart.Point((double) tick / TICKS_AN_HOUR, skew));
+      points.add(new Chart.Point((double) tick / TICKS_PER_HOUR, skew));
     }
     double[] skews = points.stream().mapToDouble(Chart.Point::y).toArray();
     return new Day(
@@ -135,8 +140,8 @@
         Arrays.stream(skews).max().orElseThrow(),
         fetches,
         nearDeadline,
-        slowest,
-        most,
+        slowestMillis,
+        largestMegabytes,
         points);
   }
 
@@ -170,7 +175,7 @@
         day.fetches() * EXPERT_GIGABYTES,
         day.fetchesNearDeadline(),
         day.slowestPlanMillis(),
-        day.mostPlanMegabytes());
+        day.largestPlanMegabytes());
   }
 
   private static BenchAim skewAim(String size, List<Day> days) {
--- a/bench/src/main/java/dev/ibishub/bench/experts/FullReplan.java
+++ b/bench/src/main/java/dev/ibishub/bench/experts/FullReplan.java
@@ -6,7 +6,10 @@
 import java.util.List;
 import java.util.stream.IntStream;
 
-/** The baseline that plans anew from nothing: replicas for the hottest, then the heaviest first. */
+/**
+ * Baseline that plans from scratch: replicates the most popular experts, then places the replicas
+ * with the largest load first.
+ */
 final class FullReplan {
   private FullReplan() {}
 
@@ -25,7 +28,7 @@
     return ExpertMap.of(shape.layers(), shape.ranks(), shape.slots(), experts);
   }
 
-  /** Returns the experts of each rank of one layer, all places taken. */
+  /** Returns the experts of each rank of one layer, with all slots filled. */
   static int[][] parts(double[] popularity, double[] slowness, int slots) {
     int ranks = slowness.length;
     int[] replicas = replicas(popularity, ranks * slots);
--- a/bench/src/main/java/dev/ibishub/bench/experts/PlacementBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/experts/PlacementBench.java
@@ -17,24 +17,25 @@
 import java.util.stream.IntStream;
 
 /**
- * How even a group's map becomes, after how many fetches and at what cost of planning, from the map
- * that assigns experts in turn, against a plan from nothing. The demand stands still.
+ * Measures how even a group's map becomes, with how many fetches and at what planning cost,
+ * compared with a plan from scratch. It starts from the map that assigns experts in turn; the
+ * demand is constant.
  */
 public final class PlacementBench implements Bench {
-  private static final int MOST_MAPS = 12;
+  private static final int MAX_MAPS = 12;
   private static final int WARM_UPS = 3;
-  private static final double NANOS_A_MILLI = 1e6;
-  private static final double BYTES_A_MEGABYTE = 1e6;
-  private static final double EVEN = 1.1;
-  private static final double NEARLY_EVEN = 1.2;
-  private static final double GOOD_SKEW = 1.05;
-  private static final double AIM_MILLIS = 20;
+  private static final double NANOS_PER_MILLI = 1e6;
+  private static final double BYTES_PER_MEGABYTE = 1e6;
+  private static final double EVEN_SKEW = 1.1;
+  private static final double NEARLY_EVEN_SKEW = 1.2;
+  private static final double TARGET_SKEW = 1.05;
+  private static final double MAX_PLAN_MILLIS = 20;
 
-  /** Popularity of experts: a power law over a random order, and a few that are hotter. */
-  private static final double POWER = 0.44;
+  /** Exponent of the power law of popularity; a few experts are hotter than the law says. */
+  private static final double POPULARITY_EXPONENT = 0.44;
 
-  private static final int ONE_IN_HOT = 24;
-  private static final double HOT = 4;
+  private static final int EXPERTS_PER_HOT_EXPERT = 24;
+  private static final double HOT_FACTOR = 4;
 
   private record Size(
       String name, int ranks, int sets, int experts, int places, int spare, double fetchMillis) {
@@ -97,15 +98,15 @@
                 IntStream.range(0, size.experts())
                     .mapToDouble(
                         expert ->
-                            Math.pow(1 + random.nextInt(size.experts()), -POWER)
-                                * (random.nextInt(ONE_IN_HOT) == 0 ? HOT : 1))
+                            Math.pow(1 + random.nextInt(size.experts()), -POPULARITY_EXPONENT)
+                                * (random.nextInt(EXPERTS_PER_HOT_EXPERT) == 0 ? HOT_FACTOR : 1))
                     .toArray())
         .toArray(double[][]::new);
   }
 
   private static UnaryOperator<GroupMap> planner(Size size, double[][] demand) {
     int perRank = size.sets() * size.spare();
-    PlacementLimits limits = new PlacementLimits(size.places(), size.spare(), perRank, GOOD_SKEW);
+    PlacementLimits limits = new PlacementLimits(size.places(), size.spare(), perRank, TARGET_SKEW);
     MapEconomy economy =
         new MapEconomy(skew -> 40 + 60 * skew, size.fetchMillis(), 150, 0.15, 4_000);
     return map ->
@@ -114,7 +115,7 @@
             .orElse(map);
   }
 
-  /** The last of a few runs, so that classes are loaded and loops compiled. */
+  /** Returns the last of several runs, so that classes are loaded and loops compiled. */
   private static Series warmSeries(
       String policy, Size size, double[][] demand, UnaryOperator<GroupMap> planner) {
     return IntStream.rangeClosed(0, WARM_UPS)
@@ -128,19 +129,20 @@
     GroupMap map = size.inTurn();
     List<Double> skews = new ArrayList<>(List.of(map.skew(demand, size.slowness())));
     int fetches = 0;
-    double slowest = 0;
-    double most = 0;
-    for (int number = 0; number < MOST_MAPS; number++) {
+    double slowestMillis = 0;
+    double largestMegabytes = 0;
+    for (int number = 0; number < MAX_MAPS; number++) {
       long allocated = allocatedBytes();
       long started = System.nanoTime();
       GroupMap next = planner.apply(map);
-      slowest = Math.max(slowest, (System.nanoTime() - started) / NANOS_A_MILLI);
-      most = Math.max(most, (allocatedBytes() - allocated) / BYTES_A_MEGABYTE);
+      slowestMillis = Math.max(slowestMillis, (System.nanoTime() - started) / NANOS_PER_MILLI);
+      largestMegabytes =
+          Math.max(largestMegabytes, (allocatedBytes() - allocated) / BYTES_PER_MEGABYTE);
       fetches += fetches(map, next);
       map = next;
       skews.add(map.skew(demand, size.slowness()));
     }
-    return new Series(policy, skews, fetches, slowest, most);
+    return new Series(policy, skews, fetches, slowestMillis, largestMegabytes);
   }
 
   private static int fetches(GroupMap from, GroupMap to) {
@@ -177,22 +179,22 @@
         series.skewAfter(1),
         series.skewAfter(2),
         series.skewAfter(3),
-        series.skewAfter(MOST_MAPS),
-        series.mapsTo(NEARLY_EVEN),
-        series.mapsTo(EVEN),
+        series.skewAfter(MAX_MAPS),
+        series.mapsTo(NEARLY_EVEN_SKEW),
+        series.mapsTo(EVEN_SKEW),
         series.fetches(),
         series.slowestMillis(),
         series.megabytes());
   }
 
   private static List<BenchAim> aims(Size size, Series balanced, Series planned) {
-    double behind = planned.skewAfter(MOST_MAPS) - balanced.skewAfter(MOST_MAPS);
+    double behind = planned.skewAfter(MAX_MAPS) - balanced.skewAfter(MAX_MAPS);
     return List.of(
         aim(size.name() + ": within 0.05 of the plan from nothing", behind, behind <= 0.05),
         aim(
-            size.name() + ": a plan in " + AIM_MILLIS + " ms",
+            size.name() + ": a plan in " + MAX_PLAN_MILLIS + " ms",
             planned.slowestMillis(),
-            planned.slowestMillis() <= AIM_MILLIS));
+            planned.slowestMillis() <= MAX_PLAN_MILLIS));
   }
 
   private static BenchAim aim(String text, double measured, boolean isMet) {
--- a/bench/src/main/java/dev/ibishub/bench/experts/package-info.java
+++ b/bench/src/main/java/dev/ibishub/bench/experts/package-info.java
@@ -1,2 +1,2 @@
-/** The balance of experts over a day of drift. */
+/** Measures how evenly expert placement balances load, over a day of drift and from one start. */
 package dev.ibishub.bench.experts;
