--- a/bench/src/main/java/dev/ibishub/bench/claims/ClaimRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/claims/ClaimRun.java
@@ -17,36 +17,36 @@
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
 
-/** One run: agents claim calls that arrive at random, over one log. Not thread-safe. */
+/** Simulation of agents that claim Poisson arrivals of calls on one log. Not thread-safe. */
 final class ClaimRun {
   static final int AGENTS = 3;
-  private static final double SECONDS = 20;
+  private static final double DURATION_SECONDS = 20;
   private static final double WARM_UP_SECONDS = 1;
-  private static final double NANOS = 1e9;
+  private static final double NANOS_PER_SECOND = 1e9;
 
   private final EventQueue events = new EventQueue();
   private final RandomGenerator random;
   private final LogModel log;
   private final List<ClaimWriter> writers;
-  private final Histogram waits = new Histogram(TimeUnit.MINUTES.toNanos(1), 3);
+  private final Histogram waitNanos = new Histogram(TimeUnit.MINUTES.toNanos(1), 3);
   private final double callsPerSecond;
   private int calls;
   private int refused;
 
   /**
-   * What a run measured.
+   * The results of a run.
    *
-   * @param appendsPerSecond that the log took from all agents
-   * @param claimsPerAppend how many claims shared one
-   * @param medianMillis added to a call by its claim
-   * @param tailMillis the same, 99 in 100
-   * @param refusedShare calls refused as not run
+   * @param appendsPerSecond appends a second that the log accepted from all agents
+   * @param claimsPerAppend mean number of claims in one append
+   * @param p50Millis median latency that the claim adds to a call, in milliseconds
+   * @param p99Millis 99th percentile of that latency, in milliseconds
+   * @param refusedShare share of the calls refused as not run
    */
   record Result(
       double appendsPerSecond,
       double claimsPerAppend,
-      double medianMillis,
-      double tailMillis,
+      double p50Millis,
+      double p99Millis,
       double refusedShare) {}
 
   private ClaimRun(ClaimWriterOptions options, double callsPerSecond, long seed) {
@@ -64,12 +64,12 @@
   static Result run(ClaimWriterOptions options, double callsPerSecond, long seed) {
     ClaimRun run = new ClaimRun(options, callsPerSecond, seed);
     run.events.after(WARM_UP_SECONDS, run::arrive);
-    run.events.runUntil(WARM_UP_SECONDS + SECONDS);
+    run.events.runUntil(WARM_UP_SECONDS + DURATION_SECONDS);
     return run.result();
   }
 
-  /** One claim for each append, as many appends as the log answers. */
-  static ClaimWriterOptions withoutGroups() {
+  /** Returns options under which each append carries one claim and none waits for others. */
+  static ClaimWriterOptions ungrouped() {
     ClaimWriterOptions grouped = ClaimWriterOptions.defaults();
     return new ClaimWriterOptions(
         grouped.buckets(),
@@ -87,17 +87,17 @@
     IdempotencyKey key = IdempotencyKey.parse(events.now() + "/" + number);
     ClaimRequest request =
         new ClaimRequest("w", key, number, "attempt-" + number, events.now().plusSeconds(30));
-    double since = events.seconds();
+    double startedAt = events.seconds();
     var unused =
         writers
             .get(random.nextInt(AGENTS))
             .claim(request)
-            .whenComplete((result, failure) -> count(result, since));
+            .whenComplete((result, failure) -> count(result, startedAt));
   }
 
-  private void count(ClaimResult result, double since) {
+  private void count(ClaimResult result, double startedAt) {
     if (result instanceof ClaimResult.Won) {
-      waits.recordValue((long) ((events.seconds() - since) * NANOS));
+      waitNanos.recordValue((long) ((events.seconds() - startedAt) * NANOS_PER_SECOND));
     } else {
       refused++;
     }
@@ -105,14 +105,14 @@
 
   private Result result() {
     return new Result(
-        log.appends() / SECONDS,
-        (double) waits.getTotalCount() / log.appends(),
-        waits.getValueAtPercentile(50) / 1e6,
-        waits.getValueAtPercentile(99) / 1e6,
+        log.appends() / DURATION_SECONDS,
+        (double) waitNanos.getTotalCount() / log.appends(),
+        waitNanos.getValueAtPercentile(50) / 1e6,
+        waitNanos.getValueAtPercentile(99) / 1e6,
         (double) refused / calls);
   }
 
   private double secondsUntil(Instant when) {
-    return Duration.between(events.now(), when).toNanos() / NANOS;
+    return Duration.between(events.now(), when).toNanos() / NANOS_PER_SECOND;
   }
 }
--- a/bench/src/main/java/dev/ibishub/bench/claims/ClaimsBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/claims/ClaimsBench.java
@@ -10,7 +10,10 @@
 import java.util.Locale;
 import java.util.stream.Stream;
 
-/** What a claim on the log adds to a call, with claims that share appends and without. */
+/**
+ * Measures the latency that a claim on the log adds to a call, with and without grouping of claims
+ * into appends.
+ */
 public final class ClaimsBench implements Bench {
   private static final List<Double> CALLS_PER_SECOND = List.of(10.0, 50.0, 200.0, 500.0, 2_000.0);
   private static final String GROUPED = "claims share appends";
@@ -25,15 +28,15 @@
   public BenchReport run(long seed) {
     List<Row> rows =
         Stream.of(GROUPED, SINGLE)
-            .flatMap(way -> CALLS_PER_SECOND.stream().map(calls -> measure(way, calls, seed)))
+            .flatMap(mode -> CALLS_PER_SECOND.stream().map(calls -> measure(mode, calls, seed)))
             .toList();
     return new BenchReport(List.of(table(rows)), List.of(chart(rows)), List.of(aim(rows)));
   }
 
-  private static Row measure(String way, double calls, long seed) {
+  private static Row measure(String mode, double calls, long seed) {
     ClaimWriterOptions options =
-        way.equals(GROUPED) ? ClaimWriterOptions.defaults() : ClaimRun.withoutGroups();
-    return new Row(way, calls, ClaimRun.run(options, calls, seed));
+        mode.equals(GROUPED) ? ClaimWriterOptions.defaults() : ClaimRun.ungrouped();
+    return new Row(mode, calls, ClaimRun.run(options, calls, seed));
   }
 
   private static BenchTable table(List<Row> rows) {
@@ -55,12 +58,12 @@
         "Appends a second by calls a second",
         "calls a second",
         "appends a second",
-        Stream.of(GROUPED, SINGLE).map(way -> new Chart.Line(way, points(way, rows))).toList());
+        Stream.of(GROUPED, SINGLE).map(mode -> new Chart.Line(mode, points(mode, rows))).toList());
   }
 
-  private static List<Chart.Point> points(String way, List<Row> rows) {
+  private static List<Chart.Point> points(String mode, List<Row> rows) {
     return rows.stream()
-        .filter(row -> row.way().equals(way))
+        .filter(row -> row.mode().equals(mode))
         .map(row -> new Chart.Point(row.calls(), row.result().appendsPerSecond()))
         .toList();
   }
@@ -68,7 +71,7 @@
   private static BenchAim aim(List<Row> rows) {
     double most =
         rows.stream()
-            .filter(row -> row.way().equals(GROUPED))
+            .filter(row -> row.mode().equals(GROUPED))
             .mapToDouble(row -> row.result().appendsPerSecond())
             .max()
             .orElseThrow();
@@ -78,15 +81,15 @@
         most <= LogModel.APPENDS_PER_SECOND / 2);
   }
 
-  private record Row(String way, double calls, ClaimRun.Result result) {
+  private record Row(String mode, double calls, ClaimRun.Result result) {
     List<Object> cells() {
       return List.of(
-          way,
+          mode,
           calls,
           result.appendsPerSecond(),
           result.claimsPerAppend(),
-          result.medianMillis(),
-          result.tailMillis(),
+          result.p50Millis(),
+          result.p99Millis(),
           result.refusedShare());
     }
   }
--- a/bench/src/main/java/dev/ibishub/bench/claims/LogModel.java
+++ b/bench/src/main/java/dev/ibishub/bench/claims/LogModel.java
@@ -12,18 +12,18 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.random.RandomGenerator;
 
-/** A log of one stream with a latency and a limit on appends a second. Not thread-safe. */
+/** Model of a log with one stream, a latency and a token bucket on appends. Not thread-safe. */
 final class LogModel implements AppendOnlyLog {
   static final double APPENDS_PER_SECOND = 300;
-  private static final double BURST = 30;
+  private static final double BURST_APPENDS = 30;
   private static final double ONE_WAY_SECONDS = 0.0015;
   private static final double MEAN_WRITE_SECONDS = 0.004;
 
   private final EventQueue events;
   private final RandomGenerator random;
   private final List<byte[]> records = new ArrayList<>();
-  private final List<Runnable> heldReads = new ArrayList<>();
-  private double tokens = BURST;
+  private final List<Runnable> pendingReads = new ArrayList<>();
+  private double tokens = BURST_APPENDS;
   private double tokensAt;
   private long appends;
 
@@ -39,7 +39,7 @@
   @Override
   public CompletableFuture<Long> append(String stream, byte[] record) {
     CompletableFuture<Long> answer = new CompletableFuture<>();
-    events.after(ONE_WAY_SECONDS, () -> take(record, answer));
+    events.after(ONE_WAY_SECONDS, () -> accept(record, answer));
     return answer;
   }
 
@@ -52,7 +52,7 @@
     return answer;
   }
 
-  private void take(byte[] record, CompletableFuture<Long> answer) {
+  private void accept(byte[] record, CompletableFuture<Long> answer) {
     if (!takeToken()) {
       ResultException refusal =
           new ResultException(ResultCode.LOG_UNAVAILABLE, "too many appends a second");
@@ -68,15 +68,15 @@
     long offset = records.size();
     records.add(record);
     events.after(ONE_WAY_SECONDS, () -> answer.complete(offset));
-    List<Runnable> held = List.copyOf(heldReads);
-    heldReads.clear();
-    held.forEach(Runnable::run);
+    List<Runnable> pending = List.copyOf(pendingReads);
+    pendingReads.clear();
+    pending.forEach(Runnable::run);
   }
 
   private void answerRead(
       int from, int maximum, Instant waitUntil, CompletableFuture<LogPage> answer) {
     if (from >= records.size() && waitUntil.isAfter(events.now())) {
-      heldReads.add(() -> answerRead(from, maximum, waitUntil, answer));
+      pendingReads.add(() -> answerRead(from, maximum, waitUntil, answer));
       return;
     }
     List<LogRecord> page = new ArrayList<>();
@@ -89,7 +89,7 @@
 
   private boolean takeToken() {
     double now = events.seconds();
-    tokens = Math.min(BURST, tokens + (now - tokensAt) * APPENDS_PER_SECOND);
+    tokens = Math.min(BURST_APPENDS, tokens + (now - tokensAt) * APPENDS_PER_SECOND);
     tokensAt = now;
     if (tokens < 1) {
       return false;
--- a/bench/src/main/java/dev/ibishub/bench/claims/package-info.java
+++ b/bench/src/main/java/dev/ibishub/bench/claims/package-info.java
@@ -1,2 +1,2 @@
-/** What claiming a call on the log costs. */
+/** Measures the latency and the appends that claiming a call on the log costs. */
 package dev.ibishub.bench.claims;
--- a/bench/src/main/java/dev/ibishub/bench/fairness/FairnessBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/fairness/FairnessBench.java
@@ -18,19 +18,23 @@
 import java.util.stream.Stream;
 
 /**
- * Small and large workspaces while one floods at ten times its share, against first in first out
- * with targets in turns, and against a fixed number of requests for each workspace.
+ * Measures the latency of small workspaces while one workspace floods at ten times its share,
+ * compared with FIFO queues and round robin, and with a fixed quota of requests per workspace.
  */
 public final class FairnessBench implements Bench {
-  private static final int PROMPT = 300;
-  private static final int OUTPUT = 100;
-  private static final int SMALL = 7;
+  private static final int PROMPT_TOKENS = 300;
+  private static final int OUTPUT_TOKENS = 100;
+  private static final int SMALL_WORKSPACES = 7;
   private static final double FLOOD_FACTOR = 10;
-  private static final int QUOTA = 6 * 16;
+  private static final int MAX_REQUESTS_PER_WORKSPACE = 6 * 16;
   private static final List<Policy> POLICIES =
       List.of(
           new Policy("FIFO, round robin", Discipline.FIRST_IN_FIRST_OUT, false, 0),
-          new Policy("static quota, round robin", Discipline.FIRST_IN_FIRST_OUT, false, QUOTA),
+          new Policy(
+              "static quota, round robin",
+              Discipline.FIRST_IN_FIRST_OUT,
+              false,
+              MAX_REQUESTS_PER_WORKSPACE),
           new Policy("fair queue, round robin", Discipline.FAIR, false, 0),
           new Policy("ibishub", Discipline.FAIR, true, 0));
 
@@ -42,7 +46,7 @@
   @Override
   public BenchReport run(long seed) {
     List<Workload> mix = mix();
-    Result alone = FloodRun.run(POLICIES.get(3), mix.subList(0, SMALL), seed);
+    Result alone = FloodRun.run(POLICIES.get(3), mix.subList(0, SMALL_WORKSPACES), seed);
     List<Result> results =
         POLICIES.stream().map(policy -> FloodRun.run(policy, mix, seed)).toList();
     double fifo = results.get(0).throughput();
@@ -78,12 +82,14 @@
   }
 
   private static List<Workload> mix() {
-    double capacity = FloodRun.TARGETS * EngineParameters.defaults().capacity(PROMPT, OUTPUT);
-    double cost = OUTPUT + ModelRequest.PROMPT_TOKEN_COST * PROMPT;
+    double capacity =
+        FloodRun.TARGETS * EngineParameters.defaults().capacity(PROMPT_TOKENS, OUTPUT_TOKENS);
+    double cost = OUTPUT_TOKENS + ModelRequest.PROMPT_TOKEN_COST * PROMPT_TOKENS;
     double rate = capacity / cost;
-    double share = 2.0 / (SMALL + 2 * 4 + 2);
+    double share = 2.0 / (SMALL_WORKSPACES + 2 * 4 + 2);
     Stream<Workload> small =
-        IntStream.range(0, SMALL).mapToObj(number -> workload("small" + number, 1, 0.02 * rate));
+        IntStream.range(0, SMALL_WORKSPACES)
+            .mapToObj(number -> workload("small" + number, 1, 0.02 * rate));
     Stream<Workload> large =
         IntStream.range(0, 2).mapToObj(number -> workload("large" + number, 4, 0.22 * rate));
     return Stream.of(small, large, Stream.of(workload("flood", 2, FLOOD_FACTOR * share * rate)))
@@ -92,7 +98,7 @@
   }
 
   private static Workload workload(String workspace, double weight, double rate) {
-    return new Workload(workspace, weight, rate, PROMPT, OUTPUT, 0, 1e6);
+    return new Workload(workspace, weight, rate, PROMPT_TOKENS, OUTPUT_TOKENS, 0, 1e6);
   }
 
   private static List<Object> row(String name, Result result, Result alone, double fifo) {
@@ -108,19 +114,19 @@
   }
 
   private static double jain(Result result) {
-    double cost = OUTPUT + ModelRequest.PROMPT_TOKEN_COST * PROMPT;
-    List<WeightedShares.Claim> claims =
+    double cost = OUTPUT_TOKENS + ModelRequest.PROMPT_TOKEN_COST * PROMPT_TOKENS;
+    List<WeightedShares.Demand> demands =
         mix().stream()
             .filter(workload -> result.served().containsKey(workload.workspace()))
             .map(
                 workload ->
-                    new WeightedShares.Claim(
+                    new WeightedShares.Demand(
                         workload.workspace(),
                         workload.weight(),
                         workload.requestsPerSecond() * cost))
             .toList();
-    Map<String, Double> due = WeightedShares.of(claims, result.throughput());
-    return WeightedShares.jainIndex(due, result.served());
+    Map<String, Double> entitled = WeightedShares.of(demands, result.throughput());
+    return WeightedShares.jainIndex(entitled, result.served());
   }
 
   private static Chart.Line line(String name, Result result) {
--- a/bench/src/main/java/dev/ibishub/bench/fairness/FloodRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/fairness/FloodRun.java
@@ -16,14 +16,14 @@
 import java.util.stream.IntStream;
 import org.HdrHistogram.Histogram;
 
-/** One run of a mix of workspaces under one policy. */
+/** Simulation of several workspaces under one policy. */
 final class FloodRun {
   static final int TARGETS = 16;
   private static final int ENTRIES = 6;
-  private static final double WARM_UP = 10;
-  private static final double END = 50;
-  private static final double REPORT_PERIOD = 0.2;
-  private static final double MICROS = 1e6;
+  private static final double WARM_UP_SECONDS = 10;
+  private static final double END_SECONDS = 50;
+  private static final double REPORT_PERIOD_SECONDS = 0.2;
+  private static final double MICROS_PER_SECOND = 1e6;
 
   private final EventQueue events = new EventQueue();
   private final Policy policy;
@@ -31,7 +31,7 @@
   private final List<Router> routers;
   private final Random random;
   private final Map<String, Double> served = new HashMap<>();
-  private final Histogram smallFirstToken = new Histogram(3);
+  private final Histogram smallFirstTokenMicros = new Histogram(3);
   private final Map<String, Integer> runningPerWorkspace = new HashMap<>();
   private int nextTarget;
 
@@ -57,28 +57,29 @@
             .toList();
   }
 
-  /** Runs the workloads; those whose workspace begins with "small" are the ones looked at. */
+  /** Runs the workloads; latency is recorded for workspaces whose name begins with "small". */
   static Result run(Policy policy, List<Workload> workloads, long seed) {
     FloodRun run = new FloodRun(policy, seed);
-    return run.go(workloads, seed);
+    return run.simulate(workloads, seed);
   }
 
-  private Result go(List<Workload> workloads, long seed) {
+  private Result simulate(List<Workload> workloads, long seed) {
     routers.forEach(router -> router.setEntries(ENTRIES));
-    events.every(REPORT_PERIOD, this::report);
+    events.every(REPORT_PERIOD_SECONDS, this::report);
     report();
     IntStream.range(0, workloads.size())
         .forEach(
             number ->
                 workloads
                     .get(number)
-                    .send(events, new Random(seed + number), 0, END, this::arrived));
-    events.runUntil(END);
+                    .send(events, new Random(seed + number), 0, END_SECONDS, this::arrived));
+    events.runUntil(END_SECONDS);
     return new Result(
-        smallFirstToken.getValueAtPercentile(50) / MICROS,
-        smallFirstToken.getValueAtPercentile(95) / MICROS,
-        smallFirstToken.getValueAtPercentile(99) / MICROS,
-        served.values().stream().mapToDouble(Double::doubleValue).sum() / (END - WARM_UP),
+        smallFirstTokenMicros.getValueAtPercentile(50) / MICROS_PER_SECOND,
+        smallFirstTokenMicros.getValueAtPercentile(95) / MICROS_PER_SECOND,
+        smallFirstTokenMicros.getValueAtPercentile(99) / MICROS_PER_SECOND,
+        served.values().stream().mapToDouble(Double::doubleValue).sum()
+            / (END_SECONDS - WARM_UP_SECONDS),
         Map.copyOf(served));
   }
 
@@ -107,12 +108,12 @@
 
   private void ended(ModelRequest request) {
     runningPerWorkspace.merge(request.workspace(), -1, Integer::sum);
-    if (events.seconds() < WARM_UP) {
+    if (events.seconds() < WARM_UP_SECONDS) {
       return;
     }
     served.merge(request.workspace(), request.actualTokens(), Double::sum);
     if (request.workspace().startsWith("small")) {
-      smallFirstToken.recordValue((long) (request.firstTokenSeconds() * MICROS));
+      smallFirstTokenMicros.recordValue((long) (request.firstTokenSeconds() * MICROS_PER_SECOND));
     }
   }
 
@@ -122,23 +123,23 @@
   }
 
   /**
-   * How work is shared.
+   * How requests are queued, routed and limited.
    *
-   * @param name in the table
-   * @param discipline of the targets' queues
-   * @param routed whether the router chooses, else targets take turns
-   * @param quota most requests of one workspace at the same time; 0 for none
+   * @param name name in the table
+   * @param discipline discipline of the targets' queues
+   * @param routed whether the router chooses targets; otherwise round robin does
+   * @param quota maximum concurrent requests of one workspace; 0 for no limit
    */
   record Policy(String name, TargetModel.Discipline discipline, boolean routed, int quota) {}
 
   /**
-   * What was measured after the warm-up.
+   * The results of a run, without its warm-up.
    *
-   * @param p50 time to first token of the small workspaces, in seconds
-   * @param p95 the same
-   * @param p99 the same
-   * @param throughput tokens a second of all workspaces
-   * @param served tokens of each workspace
+   * @param p50 median time to first token of the small workspaces, in seconds
+   * @param p95 95th percentile of that time, in seconds
+   * @param p99 99th percentile of that time, in seconds
+   * @param throughput tokens a second over all workspaces
+   * @param served tokens served to each workspace
    */
   record Result(
       double p50, double p95, double p99, double throughput, Map<String, Double> served) {}
--- a/bench/src/main/java/dev/ibishub/bench/fairness/WeightedShares.java
+++ b/bench/src/main/java/dev/ibishub/bench/fairness/WeightedShares.java
@@ -4,33 +4,38 @@
 import java.util.List;
 import java.util.Map;
 
-/** What workspaces are due, and how evenly they got it. */
+/** Computes weighted max-min fair shares and the fairness of an allocation. */
 final class WeightedShares {
   private WeightedShares() {}
 
-  /** Max-min fair shares of a capacity: nobody gets more than it asks for. */
-  static Map<String, Double> of(List<Claim> claims, double capacity) {
+  /** Returns the max-min fair shares of a capacity; no share exceeds its demand. */
+  static Map<String, Double> of(List<Demand> demands, double capacity) {
     Map<String, Double> shares = new HashMap<>();
-    List<Claim> open = List.copyOf(claims);
-    double left = capacity;
+    List<Demand> open = List.copyOf(demands);
+    double remaining = capacity;
     while (!open.isEmpty()) {
-      double unit = left / open.stream().mapToDouble(Claim::weight).sum();
-      List<Claim> content =
-          open.stream().filter(claim -> claim.demand() <= unit * claim.weight()).toList();
-      List<Claim> settled = content.isEmpty() ? open : content;
+      double perWeight = remaining / open.stream().mapToDouble(Demand::weight).sum();
+      List<Demand> satisfied =
+          open.stream()
+              .filter(demand -> demand.tokensPerSecond() <= perWeight * demand.weight())
+              .toList();
+      List<Demand> settled = satisfied.isEmpty() ? open : satisfied;
       settled.forEach(
-          claim -> shares.put(claim.workspace(), Math.min(claim.demand(), unit * claim.weight())));
-      left -= settled.stream().mapToDouble(claim -> shares.get(claim.workspace())).sum();
-      open = open.stream().filter(claim -> !settled.contains(claim)).toList();
+          demand ->
+              shares.put(
+                  demand.workspace(),
+                  Math.min(demand.tokensPerSecond(), perWeight * demand.weight())));
+      remaining -= settled.stream().mapToDouble(demand -> shares.get(demand.workspace())).sum();
+      open = open.stream().filter(demand -> !settled.contains(demand)).toList();
     }
     return shares;
   }
 
-  /** Jain's index of what each got over what it was due: 1 when all got the same part. */
-  static double jainIndex(Map<String, Double> due, Map<String, Double> got) {
+  /** Returns Jain's index of received over entitled tokens: 1 if the ratio is equal for all. */
+  static double jainIndex(Map<String, Double> entitled, Map<String, Double> received) {
     double[] parts =
-        due.entrySet().stream()
-            .mapToDouble(share -> got.getOrDefault(share.getKey(), 0.0) / share.getValue())
+        entitled.entrySet().stream()
+            .mapToDouble(share -> received.getOrDefault(share.getKey(), 0.0) / share.getValue())
             .toArray();
     double sum = 0;
     double squares = 0;
@@ -42,11 +47,11 @@
   }
 
   /**
-   * What a workspace asks for.
+   * The demand of a workspace.
    *
-   * @param workspace that asks
-   * @param weight of the workspace
-   * @param demand tokens a second
+   * @param workspace name of the workspace
+   * @param weight weight of the workspace
+   * @param tokensPerSecond tokens a second that it asks for
    */
-  record Claim(String workspace, double weight, double demand) {}
+  record Demand(String workspace, double weight, double tokensPerSecond) {}
 }
--- a/bench/src/main/java/dev/ibishub/bench/fairness/package-info.java
+++ b/bench/src/main/java/dev/ibishub/bench/fairness/package-info.java
@@ -1,2 +1,2 @@
-/** Measures what small workspaces feel while a large one floods. */
+/** Measures the latency of small workspaces while another one floods the system. */
 package dev.ibishub.bench.fairness;
