--- a/bench/src/main/java/dev/ibishub/bench/Bench.java
+++ b/bench/src/main/java/dev/ibishub/bench/Bench.java
@@ -1,15 +1,15 @@
 package dev.ibishub.bench;
 
-/** A measurement of decisions that takes every random draw from its seed. */
+/** A measurement that can be run by name; all its random numbers come from one seed. */
 public interface Bench {
-  /** The name that {@code bin/bench} runs it by. */
+  /** The name under which {@code bin/bench} runs the measurement. */
   String name();
 
   /**
    * Runs the measurement.
    *
-   * @param seed of all randomness
-   * @return what was measured
+   * @param seed seed of all random numbers
+   * @return the results
    */
   BenchReport run(long seed);
 }
--- a/bench/src/main/java/dev/ibishub/bench/BenchAim.java
+++ b/bench/src/main/java/dev/ibishub/bench/BenchAim.java
@@ -1,10 +1,10 @@
 package dev.ibishub.bench;
 
 /**
- * An aim and whether the run reached it.
+ * A target value for a result, and whether the run met it.
  *
- * @param text the aim
- * @param measured the figure that decides
- * @param met whether it was reached
+ * @param text description of the aim
+ * @param measured the result that was compared with the aim
+ * @param met whether the result met the aim
  */
 public record BenchAim(String text, String measured, boolean met) {}
--- a/bench/src/main/java/dev/ibishub/bench/BenchMain.java
+++ b/bench/src/main/java/dev/ibishub/bench/BenchMain.java
@@ -20,9 +20,9 @@
 import joptsimple.OptionSet;
 import joptsimple.OptionSpec;
 
-/** The program behind {@code bin/bench}: runs one bench and writes its report. */
+/** Command line of {@code bin/bench}: runs one measurement and writes its report. */
 public final class BenchMain {
-  private static final int USAGE = 2;
+  private static final int USAGE_EXIT_STATUS = 2;
   private static final List<Bench> BENCHES =
       List.of(
           new ClaimsBench(),
@@ -39,9 +39,9 @@
   private BenchMain() {}
 
   /**
-   * Runs the bench that the command line names.
+   * Runs the measurement that the command line names.
    *
-   * @param arguments as {@code --help} lists them
+   * @param arguments the name of the measurement and its options
    * @throws IOException when a report cannot be written
    */
   public static void main(String[] arguments) throws IOException {
@@ -61,15 +61,15 @@
     OptionSpec<String> names = parser.nonOptions("name of the bench: " + names());
     try {
       OptionSet options = parser.parse(arguments);
-      Optional<Bench> bench = named(options.valuesOf(names));
+      Optional<Bench> bench = find(options.valuesOf(names));
       if (bench.isEmpty()) {
         System.err.println("usage: bin/bench NAME [--seed N] [--folder PATH]; NAME: " + names());
-        System.exit(USAGE);
+        System.exit(USAGE_EXIT_STATUS);
       }
       run(bench.orElseThrow(), options.valueOf(seed), Path.of(options.valueOf(folder)));
-    } catch (OptionException wrong) {
-      System.err.println(wrong.getMessage());
-      System.exit(USAGE);
+    } catch (OptionException exception) {
+      System.err.println(exception.getMessage());
+      System.exit(USAGE_EXIT_STATUS);
     }
   }
 
@@ -80,7 +80,7 @@
     ReportWriter.write(bench.name(), seed, report, folder);
   }
 
-  private static Optional<Bench> named(List<String> names) {
+  private static Optional<Bench> find(List<String> names) {
     return BENCHES.stream().filter(bench -> names.equals(List.of(bench.name()))).findFirst();
   }
 
--- a/bench/src/main/java/dev/ibishub/bench/BenchReport.java
+++ b/bench/src/main/java/dev/ibishub/bench/BenchReport.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What a bench measured.
+ * The results of a measurement.
  *
- * @param tables the figures
- * @param charts drawn below each other into one picture; may be empty
- * @param aims what the figures were to reach; may be empty
+ * @param tables the results as tables
+ * @param charts charts that are drawn below each other in one image; may be empty
+ * @param aims aims that the results are compared with; may be empty
  */
 public record BenchReport(List<BenchTable> tables, List<Chart> charts, List<BenchAim> aims) {
   /** Copies the lists. */
--- a/bench/src/main/java/dev/ibishub/bench/BenchTable.java
+++ b/bench/src/main/java/dev/ibishub/bench/BenchTable.java
@@ -3,14 +3,14 @@
 import java.util.List;
 
 /**
- * Figures as rows under named columns.
+ * A table of results.
  *
- * @param title what the figures are, with their unit
+ * @param title what the table shows, with the unit
  * @param columns names of the columns
- * @param rows cells, as many in each row as there are columns
+ * @param rows the cells of each row, one for each column
  */
 public record BenchTable(String title, List<String> columns, List<List<Object>> rows) {
-  /** Checks that each row fits the columns. */
+  /** Checks that each row has one cell for each column. */
   public BenchTable {
     columns = List.copyOf(columns);
     rows = rows.stream().map(List::copyOf).toList();
--- a/bench/src/main/java/dev/ibishub/bench/Chart.java
+++ b/bench/src/main/java/dev/ibishub/bench/Chart.java
@@ -5,10 +5,10 @@
 /**
  * A line chart.
  *
- * @param title over the chart
- * @param xLabel of the horizontal axis, with its unit
- * @param yLabel of the vertical axis, with its unit
- * @param lines what is drawn
+ * @param title title above the chart
+ * @param xLabel label of the horizontal axis, with its unit
+ * @param yLabel label of the vertical axis, with its unit
+ * @param lines the lines
  */
 public record Chart(String title, String xLabel, String yLabel, List<Line> lines) {
   /** Copies the list. */
@@ -17,10 +17,10 @@
   }
 
   /**
-   * One line.
+   * A line of a chart.
    *
-   * @param name in the legend
-   * @param points in the order in which they are joined
+   * @param name name in the legend
+   * @param points in the order in which they are connected
    */
   public record Line(String name, List<Point> points) {
     /** Copies the list. */
@@ -30,10 +30,10 @@
   }
 
   /**
-   * One point.
+   * A point of a line.
    *
-   * @param x along the horizontal axis
-   * @param y along the vertical axis
+   * @param x position on the horizontal axis
+   * @param y position on the vertical axis
    */
   public record Point(double x, double y) {}
 }
--- a/bench/src/main/java/dev/ibishub/bench/ChartPainter.java
+++ b/bench/src/main/java/dev/ibishub/bench/ChartPainter.java
@@ -10,7 +10,7 @@
 import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 
-/** Draws charts below each other into one picture. */
+/** Draws charts below each other into one image. */
 final class ChartPainter {
   private static final int WIDTH = 900;
   private static final int HEIGHT = 420;
--- a/bench/src/main/java/dev/ibishub/bench/ReportWriter.java
+++ b/bench/src/main/java/dev/ibishub/bench/ReportWriter.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import javax.imageio.ImageIO;
 
-/** Writes a report as text, as JSON and as a picture. */
+/** Writes a report as text, as JSON and as an image. */
 final class ReportWriter {
   private static final ObjectMapper JSON =
       new ObjectMapper().enable(SerializationFeature.INDENT_OUTPUT);
--- a/bench/src/main/java/dev/ibishub/bench/TextTable.java
+++ b/bench/src/main/java/dev/ibishub/bench/TextTable.java
@@ -5,7 +5,7 @@
 import java.util.stream.Collectors;
 import java.util.stream.IntStream;
 
-/** Writes a table as aligned Markdown, which a page takes over as it is. */
+/** Formats a table as aligned Markdown, ready to be pasted into a page. */
 final class TextTable {
   private TextTable() {}
 
--- a/bench/src/main/java/dev/ibishub/bench/package-info.java
+++ b/bench/src/main/java/dev/ibishub/bench/package-info.java
@@ -1,2 +1,2 @@
-/** Measurements of the decisions: benches with a clock they set, and JMH. */
+/** Measurements of the decision logic, on a simulated clock or by JMH. */
 package dev.ibishub.bench;
