--- a/spec/fencing.pml
+++ b/spec/fencing.pml
@@ -1,85 +1,93 @@
 /*
- * Orders to an engine that ignores fencing numbers: an older order never takes effect after a newer.
+ * Commands to an engine that ignores fencing tokens: an older command never takes effect after a
+ * newer one.
  *
  * Implemented by dev.ibishub.core.OrderGate and dev.ibishub.agent.OrderController.
  *
- * Bounds: two who give orders, with tokens 1 and 2; the first may be paused past its lease, so its
- * order arrives at any moment, and both are repeated at will. The agent starts anew without memory
- * up to twice at any moment. An order given to the engine takes effect at any later moment, or is
- * lost once; its answer may be lost before or after the effect. The settling time stands in the model
- * as: the agent waits until nothing that it or a predecessor gave can take effect any longer.
- * A token stands on the log before it is used; the log may be unreachable for any time.
+ * Bounds: two controllers, with tokens 1 and 2; the first may be paused past its lease, so its
+ * command arrives at any time, and both commands may be repeated without limit. The agent restarts
+ * without memory up to twice, at any time. A command sent to the engine takes effect at any later
+ * time, and one command at most is lost; its response may be lost before or after the effect. The
+ * settling time is modelled as follows: the agent waits until no command that it or a predecessor
+ * sent can still take effect. A token is on the log before it is used; the log may be unreachable
+ * for any time.
  *
  * Safety: the assertion in Engine.
  *
  * mutation: NO_TOKEN_CHECK the agent obeys any token, as the engine does
- * mutation: NO_RELEARN an agent that started anew takes orders before it knows the highest token
- * mutation: NO_SETTLE the agent gives an order while an earlier one may yet take effect
+ * mutation: NO_RELEARN a restarted agent accepts commands before it knows the highest token
+ * mutation: NO_SETTLE the agent sends a command while an earlier one may still take effect
  */
 #define RESTARTS 2
 
-byte issued = 1;
-bool asked[3];
-bool given[3];
+byte highestIssued = 1;
+bool requested[3];
+bool inFlight[3];
 byte inEffect;
-byte losses = 1;
-byte highest;
+byte lossesLeft = 1;
+byte highestSeen;
 bool relearned;
-byte waitsFor;
-byte restarts = RESTARTS;
+byte awaitedToken;
+byte restartsLeft = RESTARTS;
 
 #ifdef NO_TOKEN_CHECK
 #define TOKEN_OK(token) true
 #else
-#define TOKEN_OK(token) (token >= highest)
+#define TOKEN_OK(token) (token >= highestSeen)
 #endif
 #ifdef NO_SETTLE
 #define SETTLED true
 #else
-#define SETTLED (!given[1] && !given[2])
+#define SETTLED (!inFlight[1] && !inFlight[2])
 #endif
 #ifdef NO_RELEARN
 #define RELEARNED true
 #else
 #define RELEARNED relearned
 #endif
-#define GIVE(token) atomic { RELEARNED && waitsFor == 0 && asked[token] && TOKEN_OK(token) && \
-    SETTLED && inEffect != token && !given[token] -> \
-    highest = (token > highest -> token : highest); given[token] = true; waitsFor = token }
+#define SEND(token) atomic { RELEARNED && awaitedToken == 0 && requested[token] && \
+    TOKEN_OK(token) && SETTLED && inEffect != token && !inFlight[token] -> \
+    highestSeen = (token > highestSeen -> token : highestSeen); \
+    inFlight[token] = true; awaitedToken = token }
 
 proctype Agent() {
 end:
   do
-  :: atomic { !relearned -> highest = (issued > highest -> issued : highest); relearned = true }
-  :: GIVE(1)
-  :: GIVE(2)
-  :: atomic { waitsFor != 0 && !given[waitsFor] -> waitsFor = 0 }
-  /* The answer is lost, whether the order took effect or not. */
-  :: atomic { waitsFor != 0 && given[waitsFor] -> waitsFor = 0 }
-  :: atomic { restarts > 0 -> restarts--; relearned = false; highest = 0; waitsFor = 0 }
+  :: atomic { !relearned ->
+       highestSeen = (highestIssued > highestSeen -> highestIssued : highestSeen);
+       relearned = true }
+  :: SEND(1)
+  :: SEND(2)
+  :: atomic { awaitedToken != 0 && !inFlight[awaitedToken] -> awaitedToken = 0 }
+  /* The response is lost; the command may still take effect. */
+  :: atomic { awaitedToken != 0 && inFlight[awaitedToken] -> awaitedToken = 0 }
+  :: atomic { restartsLeft > 0 ->
+       restartsLeft--; relearned = false; highestSeen = 0; awaitedToken = 0 }
   od
 }
 
 proctype Engine(byte token) {
 end:
   do
-  :: atomic { given[token] -> given[token] = false; assert(token >= inEffect); inEffect = token }
-  :: atomic { given[token] && losses > 0 -> losses--; given[token] = false }
+  :: atomic { inFlight[token] -> inFlight[token] = false; assert(token >= inEffect); inEffect = token }
+  :: atomic { inFlight[token] && lossesLeft > 0 -> lossesLeft--; inFlight[token] = false }
   od
 }
 
-proctype First() {
-  asked[1] = true
+proctype FirstController() {
+  requested[1] = true
 }
 
-proctype Second() {
-  issued = 2;
-  asked[2] = true
+proctype SecondController() {
+  highestIssued = 2;
+  requested[2] = true
 }
 
 init {
-  atomic { run Agent(); run Engine(1); run Engine(2); run First(); run Second() }
+  atomic {
+    run Agent(); run Engine(1); run Engine(2); run FirstController(); run SecondController()
+  }
 }
 
-/* Under weak fairness the newer order takes effect, whatever became of the older. */
+/* Under weak fairness the newer command takes effect, whatever happens to the older one. */
 ltl progress { <> (inEffect == 2) }
