--- a/spec/expert-map.pml
+++ b/spec/expert-map.pml
@@ -1,27 +1,26 @@
 /*
- * The switch of a group's expert map: in every step all ranks use one map.
+ * The switch of a group's expert map: in every step all ranks use the same map.
  *
  * Implemented by dev.ibishub.core.RankGate (agent), dev.ibishub.core.GroupLeader and
- * dev.ibishub.core.internal.experts.MapReconciler (entry). The log has no part in it.
+ * dev.ibishub.core.internal.experts.MapReconciler (entry). The log is not involved.
  *
- * Bounds: 2 ranks, 2 leaders (epochs 1 and 2, both alive at any time, each may end at any moment),
- * 3 steps, at most 3 rounds of
- * leader 2, one switch by leader 1 from map 1 to map 2 at step 2, given up at any moment before the
- * commit is decided; one fault: a rank's agent, its engine, or its whole VM starts anew. Each
- * command may be lost (never handled), late (handled at any later moment), handled twice, and
- * overtaken by any other. A connection ends with the agent's process, so what was sent to an agent
- * that ended is never handled by its successor; a leader sends again on the new connection.
+ * Bounds: 2 ranks, 2 leaders (epochs 1 and 2, possibly alive at the same time, each may stop at
+ * any time), 3 steps, at most 3 rounds of leader 2, one switch by leader 1 from map 1 to map 2 at
+ * step 2, which may be abandoned at any time before the commit is decided; one fault: a rank's
+ * agent, its engine, or its whole VM restarts. Each command may be lost, delayed, duplicated and
+ * reordered. A connection ends with the agent's process, so a command sent to an agent that ended
+ * is never handled by its successor; a leader sends it again on the new connection.
  *
- * Safety: the assertion in begin_step. Not needed for it at these bounds, but for no stall or as a
- * second guard: the check of sequences (GroupSwitchTest shows the stall) and that a commit finds its
- * hold in place.
+ * Safety: the assertion in begin_step. Two checks are not needed for it at these bounds: the check
+ * of sequences, which prevents a stall (see GroupSwitchTest), and the check that a commit finds
+ * its hold in place, which is a second guard.
  *
- * mutation: FORGET_ON_APPLYING a rank reports a commit only until it is in use
- * mutation: FORGET_IN_AGENT the agent keeps no commit, so it is lost with the engine
- * mutation: NO_EPOCH a rank obeys a leader whose successor it has promised to obey
- * mutation: NO_INCARNATION a rank that lost its memory obeys commands that count on it
- * mutation: LATE_HOLD a rank acknowledges a hold for a step it has begun
- * mutation: COMMIT_EARLY the leader commits when one rank holds
+ * mutation: FORGET_ON_APPLYING a rank stops reporting a committed map once it is in use
+ * mutation: FORGET_IN_AGENT the agent does not remember a commit, so it is lost with the engine
+ * mutation: NO_EPOCH a rank obeys a leader of an older epoch than the one it promised to obey
+ * mutation: NO_INCARNATION a rank that lost its memory obeys commands that rely on it
+ * mutation: LATE_HOLD a rank acknowledges a hold for a step that it has begun
+ * mutation: COMMIT_EARLY the leader commits as soon as one rank holds
  */
 #define RANKS 2
 #define LEADERS 2
@@ -32,7 +31,7 @@
 #define FAULTS 1
 #define ROUNDS 3
 
-/* Commands in the order of their sequence; each leader sends each kind at most once a rank. */
+/* Kinds of commands, in sequence order; a leader sends each kind at most once to each rank. */
 #define PREPARE 0
 #define JOIN 1
 #define STAGE 2
@@ -50,36 +49,36 @@
 
 #define AT(l, k, r) ((((l) * KINDS) + (k)) * RANKS + (r))
 
-/* Engines. */
+/* State of the engines. */
 byte step[RANKS];
 byte inUse[RANKS];
 byte staged[RANKS];
 byte hold[RANKS];
 byte committed[RANKS];
 byte committedStep[RANKS];
-/* Agents. */
+/* State of the agents. */
 byte life[RANKS];
 bool member[RANKS];
 byte incarnation[RANKS];
 byte promised[RANKS];
 byte lastSequence[RANKS];
 byte memory[RANKS];
-/* The map that a step was begun with, 0 for none. */
+/* The map with which each step was begun; 0 if it was not begun. */
 byte mapOfStep[STEPS + 1];
 byte faults = FAULTS;
 
-/* Commands sent: the life of the agent it went to plus 1, and their incarnation. */
+/* Commands sent: life of the receiving agent plus 1, 0 if not sent, and incarnation in them. */
 byte sentTo[LEADERS * KINDS * RANKS];
 byte sentIncarnation[LEADERS];
 byte round[LEADERS];
 
-/* Answers to the leaders' commands: none, done, refused. */
+/* Responses to the leaders' commands. */
 #define NONE 0
 #define DONE 1
 #define REFUSED 2
 #define NO_MEMORY 3
 byte answer[LEADERS * KINDS * RANKS];
-/* What the last answer to PREPARE, JOIN or AGAIN said. */
+/* State of each rank as of its last response to leader 2. */
 byte saidVersion[RANKS];
 byte saidHold[RANKS];
 byte saidIncarnation[RANKS];
@@ -157,7 +156,7 @@
 #else
 #define MEMBER_OK(l, r) (member[r] && incarnation[r] == sentIncarnation[l])
 #endif
-/* RankGate.admit, then the engine's order; the engine itself ignores numbers. */
+/* RankGate.admit, then the command to the engine, which ignores epochs and sequences. */
 inline handle(l, k, r) {
   d_step {
     result = NONE;
@@ -204,7 +203,7 @@
           fi
        fi
     fi;
-    /* Every answer carries the rank's state as it is now. */
+    /* Every response carries the rank's current state. */
     if
     :: l == 1 -> say(r)
     :: else
@@ -227,8 +226,8 @@
   member[r] = false
 }
 
-/* A copy of a command answered before counts only where it would be obeyed and change something; a
- * refusal counts only for leader 2, since leader 1 does nothing on one. */
+/* Reduces the states: a duplicate of an answered command is handled only if it would be obeyed and
+ * have an effect; a refusal matters only to leader 2, since leader 1 does not react to one. */
 #define OBEYS(l, k, r) (EPOCH_OK(l, r) && SEQUENCE_OK(l, k, r) && MEMBER_OK(l, r) && PROMISED(l, r))
 #define CAN(l, k, r, effect) (sentTo[AT(l, k, r)] == life[r] + 1 && \
     (answer[AT(l, k, r)] == NONE && (l == 1 || OBEYS(l, k, r)) || effect && OBEYS(l, k, r)))
@@ -244,11 +243,11 @@
 end:
   do
   :: begin_step(r)
-  /* The ranks are alike, so that rank 0 meets the fault is no loss. */
+  /* The ranks are symmetric, so faults at rank 0 suffice. */
   :: d_step { r == 0 && faults > 0 -> faults--; new_life(r) }
   :: d_step { r == 0 && faults > 0 -> faults--; new_engine(r) }
   :: d_step {
-       /* The whole VM: a step that only it had begun never ended and is begun anew by all. */
+       /* The whole VM restarts: a step that only this rank had begun is begun again by all. */
        r == 0 && faults > 0 -> faults--; new_life(r); new_engine(r);
        if
        :: step[r] > step[1 - r] -> mapOfStep[step[r]] = 0; step[r] = step[1 - r]
@@ -277,21 +276,21 @@
   od
 }
 
-/* Sends a command, or sends it again to an agent that started anew. */
+/* Sends a command, or resends it to an agent that restarted. */
 inline send(l, kind, r) {
   d_step {
     sentTo[AT(l, kind, r)] = life[r] + 1
   }
 }
 
-/* Not yet answered, and not yet sent to the agent as it now lives. */
+/* Neither answered yet nor sent to the current life of the agent. */
 #define UNSENT(l, kind, r) (sentTo[AT(l, kind, r)] != life[r] + 1 && answer[AT(l, kind, r)] == NONE)
 #define BOTH(l, kind, what) (answer[AT(l, kind, 0)] == what && answer[AT(l, kind, 1)] == what)
 #define ANY(l, kind, what) (answer[AT(l, kind, 0)] == what || answer[AT(l, kind, 1)] == what)
 #define ANSWERED(l, kind, r) (answer[AT(l, kind, r)] != NONE)
 
-/* Leader 1 leads a group in which all is well and switches it. That it may end at any moment is that
- * nothing ever depends on its next move. */
+/* Leader 1 switches a healthy group. It may stop at any time: no other process waits for its next
+ * step. */
 proctype First() {
 end_staging:
   do
@@ -337,8 +336,8 @@
 #define LOST(r) (!member[r] || promised[r] != 2)
 #define STALE(r) (FRESH(r) != (inUse[r] == 0) || IN_USE(r) != (inUse[r] == NEW) || HOLDS(r) != (hold[r] != 0))
 
-/* MapReconciler.next. An engine without a map is first brought in with the old one if the commit is
- * for a later step; then it, like the others, is brought over. */
+/* MapReconciler.next. An engine without a map first gets the old one if the commit is for a later
+ * step; then it is switched like the others. */
 #define BRING_IN(r) (version == NEW && FRESH(r) && !BYTES_KNOWN && !FRESH(1 - r) && step[r] + 1 < HELD)
 #define BRING_OVER(r) (version == NEW && !BRING_IN(r) && !IN_USE(r))
 #define GET_OLD(r) (version != NEW && FRESH(r) || BRING_IN(r) && DONE_AT(MEND_HOLD, r))
@@ -368,7 +367,7 @@
   }
 }
 
-/* Leader 2 takes over at any moment, while leader 1 may still be at work, and lasts. */
+/* Leader 2 takes over at any time, possibly while leader 1 is still active, and does not stop. */
 proctype Second() {
   byte version; byte i;
 prepare:
@@ -395,7 +394,7 @@
         saidVersion[0] : saidVersion[1]);
     if
     :: FRESH(0) && FRESH(1) ->
-       /* No engine has a map: what was begun ended with them, and a new start is free to choose. */
+       /* No engine has a map: any step begun ended with the engines, so any map may be chosen. */
        version = OLD;
        memory[0] = 0; memory[1] = 0;
        if
@@ -410,7 +409,7 @@
   do
   :: (LOST(0) || LOST(1) || MEND_REFUSED(0) || MEND_REFUSED(1)) && round[1] < ROUNDS ->
      start_round(); goto prepare
-  /* Asking again: PREPARE, answered at once. */
+  /* Sends PREPARE again; it is answered at once. */
   :: d_step { !LOST(0) && STALE(0) -> say(0) }
   :: d_step { !LOST(1) && STALE(1) -> say(1) }
   :: TELL(WANT_HOLD, MEND_HOLD, 0)
@@ -438,5 +437,5 @@
   atomic { run Rank(0); run Rank(1); run First(); run Second() }
 }
 
-/* Under weak fairness the group gets on whatever became of leader 1. */
+/* Under weak fairness the group makes progress wherever leader 1 stopped. */
 ltl progress { <> (step[0] == STEPS && step[1] == STEPS) }
--- a/spec/rank-switch.pml
+++ b/spec/rank-switch.pml
@@ -1,20 +1,20 @@
 /*
- * The switch of a group whose engines arm a map for a step by themselves: no step begins while two
- * ranks have different maps, and no hold is left behind.
+ * The switch of a group whose engines can arm a map to be used from a given step: no step begins
+ * while two ranks have different maps, and no hold remains afterwards.
  *
  * Implemented by dev.ibishub.core.ranks.MapSwitch.
  *
- * Bounds: 2 ranks, 2 leaders (1 began the switch; 2 settles what it finds, at any moment, while 1 may
- * still run, stand still for any time or be gone), one map, armed for step 2 of 3. The map may stop
- * being prepared at rank 1 before it is armed there. Every order stays under way for good: it may be
- * carried out at any later moment, any number of times, before or after any other; an answer may or
- * may not come. An order with a lower token than the rank has seen is refused.
+ * Bounds: 2 ranks, 2 leaders (leader 1 began the switch; leader 2 completes or undoes it, at any
+ * time, while leader 1 may be running, paused or gone), one map, armed for step 2 of 3. The map
+ * may stop being prepared at rank 1 before it is armed there. A command that was sent may be
+ * executed at any later time, any number of times and in any order; a response may be lost. A
+ * command with a lower token than the rank has seen is refused.
  *
  * mutation: ARM_WITHOUT_HOLD leader 1 arms although no rank holds the step
- * mutation: RELEASE_EARLY leader 1 releases when one rank has confirmed
- * mutation: NO_FENCE ranks take orders with lower tokens
- * mutation: NO_OWN_HOLD leader 2 disarms without having a rank hold the step under its own token
- * mutation: NEW_TOKEN leader 1 releases with a token above that of its successor
+ * mutation: RELEASE_EARLY leader 1 releases as soon as one rank has confirmed
+ * mutation: NO_FENCE ranks accept commands with lower tokens
+ * mutation: NO_OWN_HOLD leader 2 disarms although no rank holds the step under its token
+ * mutation: NEW_TOKEN leader 1 releases with a higher token than that of its successor
  */
 #define RANKS 2
 #define STEPS 3
@@ -32,11 +32,10 @@
 
 byte step = 0;
 bool armed[RANKS];
-bool switched[RANKS];
+bool switched[RANKS]; /* whether the rank used the new map in step S */
 bool prepared[RANKS];
 bool held[RANKS];
 byte fence[RANKS];
-/* 0: a rank used the old map in the step, 1: the new one. */
 bool sent[2 * KINDS * RANKS];
 byte answer[2 * KINDS * RANKS];
 byte holder = 0;
@@ -89,7 +88,7 @@
   }
 }
 
-/* The network: any order that was sent, at any time. */
+/* The network: delivers any command that was sent, at any time. */
 active proctype network() {
   byte t; byte result;
 end:
@@ -131,7 +130,7 @@
   od
 }
 
-/* Leader 1 may stop for good at any point: each wait may last for ever. */
+/* Leader 1 may stop for good at any point, since each wait may last forever. */
 active proctype first_leader() {
   byte h;
   if
@@ -164,7 +163,7 @@
   over = true
 }
 
-/* Leader 2 reads each rank at another moment, so that what it sees may never have been so. */
+/* Leader 2 reads the ranks one after the other, so the combined view may never have been true. */
 active proctype second_leader() {
   bool isArmed[RANKS]; bool isPrepared[RANKS]; bool isHeld[RANKS];
   byte h;
@@ -204,7 +203,7 @@
 release:
   atomic { sent[AT(1, RELEASE, 0)] = true; sent[AT(1, RELEASE, 1)] = true };
   answer[AT(1, RELEASE, 0)] == DONE && answer[AT(1, RELEASE, 1)] == DONE;
-  /* Nothing of leader 1 can hold or arm any more, and no rank holds. */
+  /* Leader 1 can no longer hold or arm, and no rank holds. */
   assert(!held[0] && !held[1]);
 end:
   settled = true
