--- a/bench/src/main/java/dev/ibishub/bench/crashes/CrashRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/crashes/CrashRun.java
@@ -47,6 +47,8 @@
   /**
    * Parameters of a run.
    *
+   * @param name name of the scenario
+   * @param targets number of targets
    * @param inFlightPerTarget mean number of requests that run at a target
    * @param guilty number of requests that crash targets; each is submitted repeatedly
    * @param crashingShare share of the targets that crash together for another reason, every ten
--- a/bench/src/main/java/dev/ibishub/bench/experts/PlacementBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/experts/PlacementBench.java
@@ -188,9 +188,9 @@
   }
 
   private static List<BenchAim> aims(Size size, Series balanced, Series planned) {
-    double behind = planned.skewAfter(MAX_MAPS) - balanced.skewAfter(MAX_MAPS);
+    double excessSkew = planned.skewAfter(MAX_MAPS) - balanced.skewAfter(MAX_MAPS);
     return List.of(
-        aim(size.name() + ": within 0.05 of the plan from nothing", behind, behind <= 0.05),
+        aim(size.name() + ": within 0.05 of the plan from nothing", excessSkew, excessSkew <= 0.05),
         aim(
             size.name() + ": a plan in " + MAX_PLAN_MILLIS + " ms",
             planned.slowestMillis(),
--- a/bench/src/main/java/dev/ibishub/bench/limits/LimitRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/limits/LimitRun.java
@@ -32,7 +32,7 @@
   /** Time from a response that announces a limit until the entry that read it must keep it. */
   private static final long REACTION_MILLIS = 500;
 
-  private static final double TOLERANCE = 1.5;
+  private static final double TOLERANCE_FACTOR = 1.5;
   private static final double SLACK_REQUESTS = 5;
   private static final long SERVICE_MILLIS = 1_000;
   private static final long TICK_MILLIS = 100;
@@ -136,7 +136,7 @@
             / 1_000.0;
     return new Outcome(
         boundArrivals.values().stream().mapToLong(LimitRun::maxInWindow).max().orElse(0),
-        TOLERANCE * scenario.limit() * WINDOW_MILLIS / 1_000 + SLACK_REQUESTS,
+        TOLERANCE_FACTOR * scenario.limit() * WINDOW_MILLIS / 1_000 + SLACK_REQUESTS,
         limitedArrivals / offered,
         (double) refused / requests);
   }
--- a/bench/src/main/java/dev/ibishub/bench/limits/LimitsBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/limits/LimitsBench.java
@@ -29,10 +29,11 @@
   private static final int SEEDS = 5;
 
   /** Gives the whole limit to each entry. */
-  static final LimitDivision UNDIVIDED = (own, hosts, life, limit) -> limit;
+  static final LimitDivision UNDIVIDED = (own, hosts, incarnation, limit) -> limit;
 
   /** Divides the limit between all entries. */
-  static final LimitDivision EVEN_DIVISION = (own, hosts, life, limit) -> limit / hosts.size();
+  static final LimitDivision EVEN_DIVISION =
+      (own, hosts, incarnation, limit) -> limit / hosts.size();
 
   private record Strategy(LimitDivision division, boolean isEnforced) {}
 
--- a/bench/src/main/java/dev/ibishub/bench/model/EngineModel.java
+++ b/bench/src/main/java/dev/ibishub/bench/model/EngineModel.java
@@ -69,7 +69,7 @@
     return cachedPrefixes.contains(prefixHash);
   }
 
-  /** Starts a request; its prompt is read before those of sequences that are not urgent. */
+  /** Starts a request; the prompt of an urgent one is read before those of others. */
   public void start(ModelRequest request, boolean urgent) {
     request.started(events.seconds());
     sequences.add(new Sequence(request, urgent, promptTokensToRead(request)));
--- a/bench/src/main/java/dev/ibishub/bench/model/Workload.java
+++ b/bench/src/main/java/dev/ibishub/bench/model/Workload.java
@@ -43,11 +43,11 @@
     if (events.seconds() >= until) {
       return;
     }
-    receiver.accept(draw(events, random), random.nextDouble());
+    receiver.accept(nextRequest(events, random), random.nextDouble());
     events.after(interarrivalSeconds(random), () -> sendNext(events, random, until, receiver));
   }
 
-  private ModelRequest draw(EventQueue events, Random random) {
+  private ModelRequest nextRequest(EventQueue events, Random random) {
     int output = Math.max(1, (int) (meanOutput * (0.5 + random.nextDouble())));
     int prompt = Math.max(1, (int) (meanPrompt * (0.5 + random.nextDouble())));
     int estimate = (int) (output * (1 + random.nextDouble() * (MAX_ESTIMATE_FACTOR - 1)));
--- a/bench/src/main/java/dev/ibishub/bench/overload/OverloadRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/overload/OverloadRun.java
@@ -280,7 +280,7 @@
   }
 
   /**
-   * The results of a run, without its warm-up except in {@code inTimeBySecond}.
+   * The results of a run, without its warm-up.
    *
    * @param goodput complete answers a second that came in time
    * @param wasted share of the tokens generated for answers that came after the deadline
