--- a/spec/configuration.pml
+++ b/spec/configuration.pml
@@ -2,23 +2,25 @@
  * Acceptance of published configuration on the append-only log.
  *
  * Implemented by ConfigurationReader (core), ConfigurationFollower and ConfigurationPublisher
- * (platform). Two nodes read the log and pass their state to each other; an operator at each node
- * publishes one change; a node appends a snapshot, slowly. Every read, append and message may take
- * any time, which is what an outage of the log comes to; an append's answer is lost before or after
- * the append takes effect or instead of it, retention eats records at any time, and one node is
- * replaced by an empty one.
+ * (administration).
  *
- * Safety: the state of a node is always the accepted one as of the offset that it names, its
- * revision never goes back, and what an operator was told is true forever. Progress: under weak
- * fairness every node comes to the newest accepted revision, unless retention passed what every
- * node knew.
+ * Bounds: two nodes read the log and send their state to each other; an operator at each node
+ * publishes one change; one node appends a snapshot, at any later time. Every read, append and
+ * message may be delayed for any time, which also models an outage of the log. An append may or
+ * may not take effect, and its response may be lost in both cases. Retention removes records at
+ * any time, and one node is replaced by an empty one.
  *
- * mutation: BASE_UNCHECKED a change takes hold whatever revision it is based on
- * mutation: SNAPSHOT_ANYWHERE a snapshot counts at another offset than the one it names
- * mutation: JUDGE_AFTER_GAP a reader that retention overtook goes on judging
- * mutation: TRANSFER_BACK a peer's state is taken though it is older
- * mutation: BLIND_REFUSAL a lost answer of the log is reported as refused
- * mutation: EARLY_ACCEPT an answered append is reported as accepted before it is read back
+ * Safety: the state of a node is always the accepted state at the node's offset, its revision
+ * never decreases, and the verdict given to an operator stays true. Progress: under weak fairness
+ * every node reaches the newest accepted revision, unless retention removed records that no node
+ * has read yet.
+ *
+ * mutation: BASE_UNCHECKED a change is accepted whatever revision it is based on
+ * mutation: SNAPSHOT_ANYWHERE a snapshot is used at an offset other than the one that it names
+ * mutation: JUDGE_AFTER_GAP a reader that missed records still accepts or rejects changes
+ * mutation: TRANSFER_BACK a peer's state is adopted although it is older
+ * mutation: BLIND_REFUSAL a lost response of the log is reported as a refusal
+ * mutation: EARLY_ACCEPT an acknowledged append is reported as accepted before it is read back
  */
 #define NODES 2
 #define LOG 3 /* two changes and a snapshot */
@@ -26,45 +28,46 @@
 #define CHANGE 1
 #define SNAPSHOT 2
 
-/* The log; value 0 is the state before the first change, operator k publishes value k + 1. */
-byte kind[LOG], base[LOG], value[LOG], named[LOG];
+/* The log. Value 0 is the state before the first change; operator k publishes value k + 1. */
+byte kind[LOG], base[LOG], value[LOG], snapshotOffset[LOG];
 byte length, firstKept;
 
-/* What is true, told by the order of the log alone. */
+/* The true outcome, determined by the order of the log alone. */
 byte trueRevision;
 byte valueOf[NODES + 1];
 byte revisionAt[LOG + 1];
-bool tookHold[NODES];
+bool accepted[NODES];
 
-/* The nodes. */
-byte revision[NODES], held[NODES], next[NODES], stateOffset[NODES];
+/* State of the nodes. */
+byte revision[NODES], stateValue[NODES], next[NODES], stateOffset[NODES];
 bool anchored[NODES] = true;
-bool known[NODES];
-bool refused[NODES]; /* what its operator was told */
+bool hasState[NODES];
+bool toldRefused[NODES]; /* the operator was told that the change was refused */
 
-/* A transfer on its way to each node. */
-bool sent[NODES];
+/* A state transfer in flight to each node. */
+bool transferSent[NODES];
 byte sentRevision[NODES], sentValue[NODES], sentOffset[NODES];
 
-inline append(aKind, aBase, aValue, aNamed) {
-  kind[length] = aKind; base[length] = aBase; value[length] = aValue; named[length] = aNamed;
+inline append(aKind, aBase, aValue, anOffset) {
+  kind[length] = aKind; base[length] = aBase; value[length] = aValue;
+  snapshotOffset[length] = anOffset;
   if
   :: aKind == CHANGE && aBase == trueRevision ->
-       trueRevision++; valueOf[trueRevision] = aValue; tookHold[aValue - 1] = true;
-       assert(!refused[aValue - 1])
+       trueRevision++; valueOf[trueRevision] = aValue; accepted[aValue - 1] = true;
+       assert(!toldRefused[aValue - 1])
   :: else
   fi;
   length++; revisionAt[length] = trueRevision
 }
 
 inline check(i) {
-  assert(held[i] == valueOf[revision[i]]);
+  assert(stateValue[i] == valueOf[revision[i]]);
   assert(revision[i] == revisionAt[stateOffset[i]])
 }
 
 inline adopt(i, aRevision, aValue, anOffset) {
   assert(aRevision >= revision[i]);
-  revision[i] = aRevision; held[i] = aValue; stateOffset[i] = anOffset; known[i] = true
+  revision[i] = aRevision; stateValue[i] = aValue; stateOffset[i] = anOffset; hasState[i] = true
 }
 
 inline apply(i) {
@@ -76,15 +79,15 @@
 #else
        :: base[next[i]] == revision[i] ->
 #endif
-            revision[i]++; held[i] = value[next[i]]; known[i] = true;
-            assert(tookHold[value[next[i]] - 1]) /* its operator may be told: accepted */
+            revision[i]++; stateValue[i] = value[next[i]]; hasState[i] = true;
+            assert(accepted[value[next[i]] - 1]) /* the operator may be told: accepted */
 #ifndef BASE_UNCHECKED
-       :: else -> assert(!tookHold[value[next[i]] - 1]) /* may be told: conflict */
+       :: else -> assert(!accepted[value[next[i]] - 1]) /* the operator may be told: conflict */
 #endif
        fi
   :: kind[next[i]] == SNAPSHOT && !anchored[i] && base[next[i]] >= revision[i] &&
 #ifndef SNAPSHOT_ANYWHERE
-     named[next[i]] == next[i] &&
+     snapshotOffset[next[i]] == next[i] &&
 #endif
      true -> adopt(i, base[next[i]], value[next[i]], next[i]); anchored[i] = true
   :: else
@@ -94,7 +97,7 @@
   check(i)
 }
 
-#define may_rejoin(i) (!anchored[i] && known[i] && stateOffset[i] >= firstKept)
+#define may_rejoin(i) (!anchored[i] && hasState[i] && stateOffset[i] >= firstKept)
 
 proctype Reader(byte i) {
 end:
@@ -110,25 +113,25 @@
 #endif
      }
   :: d_step { next[i] >= firstKept && next[i] < length && !may_rejoin(i) -> apply(i) }
-  :: d_step { anchored[i] && !known[i] && next[i] >= firstKept && next[i] == length ->
-       known[i] = true }
+  :: d_step { anchored[i] && !hasState[i] && next[i] >= firstKept && next[i] == length ->
+       hasState[i] = true }
   od
 }
 
 proctype Sender(byte i) {
 end:
   do
-  :: d_step { known[i] && !sent[1 - i] && stateOffset[i] > stateOffset[1 - i] ->
-       sent[1 - i] = true; sentRevision[1 - i] = revision[i];
-       sentValue[1 - i] = held[i]; sentOffset[1 - i] = stateOffset[i] }
+  :: d_step { hasState[i] && !transferSent[1 - i] && stateOffset[i] > stateOffset[1 - i] ->
+       transferSent[1 - i] = true; sentRevision[1 - i] = revision[i];
+       sentValue[1 - i] = stateValue[i]; sentOffset[1 - i] = stateOffset[i] }
   od
 }
 
 proctype Receiver(byte i) {
 end:
   do
-  :: d_step { sent[i] ->
-       sent[i] = false;
+  :: d_step { transferSent[i] ->
+       transferSent[i] = false;
        if
 #ifdef TRANSFER_BACK
        :: true ->
@@ -150,34 +153,34 @@
 }
 
 /*
- * The operator at node i, and the publisher that answers. An answer that is lost and an append that
- * takes long look the same to the publisher: it waits, and what its node reads is the verdict.
+ * The operator at node i, and the publisher that serves it. The publisher cannot tell a lost
+ * response from a slow append: it waits, and takes the verdict from what its node reads.
  */
 proctype Operator(byte i) {
   byte basedOn;
-end: /* a node that never knows answers no operator */
-  d_step { known[i] -> basedOn = revision[i] };
+end: /* a node without a known state serves no operator */
+  d_step { hasState[i] -> basedOn = revision[i] };
 #ifdef BLIND_REFUSAL
-  refused[i] = true;
+  toldRefused[i] = true;
 #endif
   if
   :: d_step {
        true -> append(CHANGE, basedOn, i + 1, 0);
 #ifdef EARLY_ACCEPT
-       assert(tookHold[i])
+       assert(accepted[i])
 #endif
      }
-  :: refused[i] = true /* the log says that it surely did not append */
+  :: toldRefused[i] = true /* the log states that it did not append */
   :: skip /* the record is lost */
   fi
 }
 
-/* Takes its node's state, and appends it whenever the log comes to it. */
+/* Copies its node's state and appends it as a snapshot at any later time. */
 proctype SnapshotWriter(byte i) {
   byte aRevision, aValue, anOffset;
-end: /* nothing to keep */
-  d_step { anchored[i] && known[i] ->
-    aRevision = revision[i]; aValue = held[i]; anOffset = stateOffset[i] };
+end: /* nothing to store */
+  d_step { anchored[i] && hasState[i] ->
+    aRevision = revision[i]; aValue = stateValue[i]; anOffset = stateOffset[i] };
   if
   :: d_step { true -> append(SNAPSHOT, aRevision, aValue, anOffset) }
   :: skip
@@ -191,15 +194,16 @@
   od
 }
 
-/* Replaces node 0 by an empty one, which also ends the publisher that ran on it. */
+/* Replaces node 0 by an empty one, which also ends the publisher on it. */
 proctype Replacement() {
   d_step {
-    revision[0] = 0; held[0] = 0; next[0] = 0; stateOffset[0] = 0;
-    anchored[0] = true; known[0] = false
+    revision[0] = 0; stateValue[0] = 0; next[0] = 0; stateOffset[0] = 0;
+    anchored[0] = true; hasState[0] = false
   }
 }
 
-/* Time goes on when nothing else can, so that a run in which all are stuck is infinite as well. */
+/* Always able to step, so that a run in which all other processes are blocked is infinite too, and
+ * the progress property covers it. */
 proctype Clock() {
 end:
   do
@@ -216,7 +220,7 @@
   }
 }
 
-#define in_force(i) (known[i] && revision[i] == trueRevision)
+#define in_force(i) (hasState[i] && revision[i] == trueRevision)
 #define lost (!anchored[0] && !anchored[1])
 
 ltl progress_in_force { <> [] ((in_force(0) && in_force(1)) || lost) }
