--- a/bin/lib/cluster.sh
+++ b/bin/lib/cluster.sh
@@ -1,13 +1,13 @@
-# Functions that bin/demo and bin/chaos share: the whole system and its stand-ins as separate
-# processes on loopback, on ports that are free. Sourced, not run.
+# Functions to run the whole system and its stand-ins as separate processes on free loopback ports.
+# Sourced by bin/demo, bin/chaos and bin/lib/bench-overhead.
 
 HOST=127.0.0.1
-# Answers that an engine generates at once.
+# Maximum number of answers that an engine generates concurrently.
 BATCH_LIMIT=${BATCH_LIMIT:-32}
 ZONES=(vake saburtalo didube)
 declare -A PIDS PORTS
 
-# start NAME COMMAND...: runs a command in the background, its output in $RUN/NAME.log.
+# start NAME COMMAND...: runs a command in the background, with its output in $RUN/NAME.log.
 start() {
   local name=$1
   shift
@@ -15,7 +15,7 @@
   PIDS[$name]=$!
 }
 
-# wait_for NAME PATTERN: prints what the pattern's group matched in the log, within 20 s.
+# wait_for NAME PATTERN: waits up to 20 s for the pattern in the log; prints what its group matched.
 wait_for() {
   local tries=0 found
   while [ "$tries" -lt 400 ]; do
@@ -30,7 +30,7 @@
   return 1
 }
 
-# http METHOD PORT PATH [BODY] [TOKEN]: one request by the shell itself; prints the answer's body.
+# http METHOD PORT PATH [BODY] [TOKEN]: sends one request using only the shell; prints the response body.
 http() {
   local method=$1 port=$2 path=$3 body=${4:-} token=${5:-}
   exec 3<> "/dev/tcp/$HOST/$port" || return 1
@@ -142,7 +142,7 @@
   done
 }
 
-# list_machines [LEAVING...]: tells the platform's list of VMs which machines there are.
+# list_machines [LEAVING...]: sets the platform's list of VMs.
 list_machines() {
   local machines="" i leaving
   machine() {
@@ -163,7 +163,7 @@
   echo "http://$HOST:${PORTS[entry-1]},http://$HOST:${PORTS[entry-2]},http://$HOST:${PORTS[entry-3]}"
 }
 
-# wait_ready ENTRY_NUMBER: until the entry has a configuration and links to all ten agents.
+# wait_ready ENTRY_NUMBER: waits until the entry has a configuration and links to all ten agents.
 wait_ready() {
   local tries=0
   until http GET "${PORTS[entry-$1]}" /metrics | grep -q '^ibishub_entry_targets 10'; do
@@ -173,12 +173,12 @@
   done
 }
 
-# mixed_steps: how many steps of the group used two maps, by the engine's own record.
+# mixed_steps: prints how many steps of the group used two maps, as the engine recorded.
 mixed_steps() {
   http GET "${PORTS[group-0]}" /control/group | sed -n 's/.*"mixedStepCount":\([0-9]*\).*/\1/p'
 }
 
-# stop_all: ends every process that was started here, by its id, and nothing else.
+# stop_all: kills every process that was started here, by its process id, and no other.
 stop_all() {
   local name
   for name in "${!PIDS[@]}"; do kill -KILL "${PIDS[$name]}" 2> /dev/null || true; done
