--- a/spec/request.pml
+++ b/spec/request.pml
@@ -1,32 +1,32 @@
 /*
- * One call that may run once only, sent by its caller under one idempotency key to two entries.
+ * One call that may run at most once, sent by its caller to two entries under one idempotency key.
  *
  * Entry 0 makes up to two attempts, at agent 0 and then at agent 1; entry 1 makes one, at agent 0.
- * Dispatches, revocations and replies are late, overtake each other and come twice; links are lost;
- * agent 0 may die once and come back without memory under a new incarnation; any process may pause
- * anywhere, which is an interleaving here; the log may refuse an append, take it late, or lose its
- * answer. The replies that leave an entry at "outcome unknown" or "done" are left out: they allow it
- * nothing that a lost link does not.
+ * Dispatches, revocations and replies may be delayed, reordered and duplicated; links may be lost;
+ * agent 0 may die once and restart without memory under a new incarnation; any process may pause
+ * at any point, which is modelled by interleaving; the log may refuse an append, execute it late,
+ * or lose its response. The replies after which an entry knows "outcome unknown" or "done" are
+ * left out: they permit the entry nothing that a lost link does not.
  *
- * Time has three phases: 0 before the deadline by every clock, 1 within the clock skew around it,
- * where each process may see either, 2 when every clock has passed the deadline and agents may
- * forget attempts.
+ * Time has three phases: 0, the deadline has passed on no clock; 1, within the clock skew around
+ * the deadline, it may have passed on some; 2, it has passed on all, and agents may forget
+ * attempts.
  *
- * Safety: the call is executed at most once; an entry that answers "not run" is right for good.
- * Progress: every submission is answered.
+ * Safety: the call is executed at most once; an answer "not run" of an entry stays true. Progress:
+ * every submission is answered.
  *
- * Implemented by dev.ibishub.core.AttemptTable (attempts of an agent), ClaimLedger and
+ * Implemented by dev.ibishub.core.AttemptTable (attempts at an agent), ClaimLedger and
  * dev.ibishub.agent.ClaimWriter (claims) and RequestTracker (what an entry may say).
  *
- * mutation: NO_TOMBSTONE a revocation of an attempt never seen leaves no trace
- * mutation: NO_READ_BACK an agent takes the answer of its append for the win
- * mutation: LOST_LINK_IS_NOT_RUN an entry says "not run" of a dispatch whose link was lost
- * mutation: ANY_INCARNATION an entry believes a restarted agent's word on an attempt before it
- * mutation: BELIEVED_TOO_LATE an entry believes a revocation after the deadline
+ * mutation: NO_TOMBSTONE a revocation of an unknown attempt is not remembered
+ * mutation: NO_READ_BACK an agent treats the response to its append as winning the claim
+ * mutation: LOST_LINK_IS_NOT_RUN an entry treats a dispatch whose link was lost as not run
+ * mutation: ANY_INCARNATION an entry accepts a restarted agent's reply on an earlier attempt
+ * mutation: BELIEVED_TOO_LATE an entry accepts a revocation reply after the deadline
  * mutation: FORGOTTEN_TOO_EARLY an agent forgets attempts before every clock passed the deadline
- * mutation: CLAIM_OF_THE_NAME a restarted agent takes its earlier run's claim for its own
- * mutation: LATE_CLAIM_STARTS an attempt refused in an outage starts when its claim turns up
- * mutation: LATE_DISPATCH_REFUSED an agent says "not run" of a copy that comes after it forgot
+ * mutation: CLAIM_OF_THE_NAME a restarted agent treats its previous incarnation's claim as its own
+ * mutation: LATE_CLAIM_STARTS an attempt refused in an outage starts once its claim is on the log
+ * mutation: LATE_DISPATCH_REFUSED an agent replies "not run" to a duplicate of an attempt it forgot
  */
 #define ATTEMPTS 3
 #define AGENT_OF(i) ((i) == 1)
@@ -35,20 +35,20 @@
 #define MAY_BE_REVOKED(i) ((i) == 0)
 #define RUN(a) (2 * (a) + incarnation[a] + 1)
 
-/* What an agent knows of an attempt. */
+/* States of an attempt at an agent. */
 #define UNSEEN 0
 #define CLAIMING 1
 #define WON 2
-#define STARTED 3       /* and perhaps over */
+#define STARTED 3       /* and possibly finished */
 #define REVOKED 4
 
-/* What an entry knows of an attempt. */
+/* States of an attempt at an entry. */
 #define NONE 0
 #define OPEN 1
 #define NOT_RUN 2
 #define UNKNOWN 3
 
-/* Replies of an agent; SILENT is none. */
+/* Replies of an agent; SILENT means none. */
 #define SILENT 0
 #define SAYS_REVOKED 1
 #define SAYS_NOT_RUN 2
@@ -56,19 +56,19 @@
 byte phase;
 bit incarnation[2];
 byte table[ATTEMPTS];
-bit taken[2];           /* the call is running or over at this agent, by its own memory */
+bit holdsCall[2];       /* by this agent's memory, the call is won, running or finished here */
 byte known[ATTEMPTS];
 
 bit dispatch[ATTEMPTS];
 bit dispatchedTo[ATTEMPTS];
 bit revocation[ATTEMPTS];
 bit revokedAt[ATTEMPTS];
-bit asked[ATTEMPTS];
+bit revocationSent[ATTEMPTS];
 byte reply[ATTEMPTS];
 bit replyFrom[ATTEMPTS];
 
 byte winner;            /* the first claim on the log: RUN of an agent, or 0 */
-bit sent[5];            /* claims on their way to the log, by RUN */
+bit claimSent[5];       /* claims in flight to the log, by RUN */
 #ifdef NO_READ_BACK
 bit acknowledged[5];
 #define acknowledge(claim) acknowledged[claim] = 1
@@ -84,7 +84,7 @@
 inline answer(i, what) {
   if
   :: !answered[ENTRY_OF(i)] -> reply[i] = what; replyFrom[i] = incarnation[AGENT_OF(i)]
-  :: else -> skip /* nobody listens any more */
+  :: else -> skip /* the entry has already answered */
   fi
 }
 
@@ -102,15 +102,15 @@
 #endif
 
 #ifdef CLAIM_OF_THE_NAME
-#define OWN(a) (winner != 0 && (winner - 1) / 2 == (a))
+#define IS_OWN_CLAIM(a) (winner != 0 && (winner - 1) / 2 == (a))
 #else
-#define OWN(a) (winner == RUN(a))
+#define IS_OWN_CLAIM(a) (winner == RUN(a))
 #endif
 
 #ifdef NO_READ_BACK
-#define IS_WON(a) (acknowledged[RUN(a)] || OWN(a))
+#define IS_WON(a) (acknowledged[RUN(a)] || IS_OWN_CLAIM(a))
 #else
-#define IS_WON(a) OWN(a)
+#define IS_WON(a) IS_OWN_CLAIM(a)
 #endif
 
 #ifdef LATE_CLAIM_STARTS
@@ -125,12 +125,12 @@
 #define LATE_DISPATCH_IS_NOT_RUN false
 #endif
 
-/* The gate of one target, for one attempt at a time. */
+/* One step of the agent's gate for attempt i at agent a. */
 inline step(a, i) {
   if
   :: atomic { dispatch[i] && dispatchedTo[i] == incarnation[a] && table[i] == UNSEEN && phase < 2 ->
        table[i] = CLAIMING;
-       sent[RUN(a)] = 1;
+       claimSent[RUN(a)] = 1;
        if :: dispatch[i] = 0 :: MAY_COME_TWICE(i) fi }
   :: atomic { dispatch[i] && dispatchedTo[i] == incarnation[a] && table[i] == UNSEEN && phase == 1 ->
        dispatch[i] = 0; answer(i, SAYS_NOT_RUN) }
@@ -138,15 +138,15 @@
        dispatch[i] = 0; if :: LATE_DISPATCH_IS_NOT_RUN -> answer(i, SAYS_NOT_RUN) :: else fi }
   :: atomic { dispatch[i] && (dispatchedTo[i] != incarnation[a] || table[i] != UNSEEN) ->
        dispatch[i] = 0 }
-  :: atomic { MAY_WIN(i) && IS_WON(a) && !taken[a] -> taken[a] = 1; table[i] = WON }
-  :: atomic { table[i] == CLAIMING && (taken[a] || (winner != 0 && !OWN(a))) ->
+  :: atomic { MAY_WIN(i) && IS_WON(a) && !holdsCall[a] -> holdsCall[a] = 1; table[i] = WON }
+  :: atomic { table[i] == CLAIMING && (holdsCall[a] || (winner != 0 && !IS_OWN_CLAIM(a))) ->
        table[i] = REVOKED }
-  :: atomic { table[i] == CLAIMING && !taken[a] -> /* outage, or no patience left */
+  :: atomic { table[i] == CLAIMING && !holdsCall[a] -> /* log outage or claim timeout */
        table[i] = REVOKED; answer(i, SAYS_NOT_RUN) }
   :: atomic { table[i] == WON && phase < 2 ->
        table[i] = STARTED; execute(i) }
   :: atomic { table[i] == WON && phase > 0 ->
-       table[i] = REVOKED; taken[a] = 0; answer(i, SAYS_NOT_RUN) }
+       table[i] = REVOKED; holdsCall[a] = 0; answer(i, SAYS_NOT_RUN) }
   :: atomic { revocation[i] && revokedAt[i] != incarnation[a] ->
        revocation[i] = 0; revokedAt[i] = 0 }
   :: atomic { revocation[i] && revokedAt[i] == incarnation[a] ->
@@ -154,7 +154,7 @@
        revokedAt[i] = 0;
        if
        :: table[i] == STARTED -> skip
-       :: table[i] == WON -> table[i] = REVOKED; taken[a] = 0; answer(i, SAYS_REVOKED)
+       :: table[i] == WON -> table[i] = REVOKED; holdsCall[a] = 0; answer(i, SAYS_REVOKED)
 #ifdef NO_TOMBSTONE
        :: table[i] == UNSEEN -> answer(i, SAYS_REVOKED)
 #else
@@ -173,7 +173,7 @@
   :: step(0, 0)
   :: step(0, 2)
   :: atomic { incarnation[0] == 0 ->
-       incarnation[0] = 1; table[0] = UNSEEN; table[2] = UNSEEN; taken[0] = 0 }
+       incarnation[0] = 1; table[0] = UNSEEN; table[2] = UNSEEN; holdsCall[0] = 0 }
   od
 }
 
@@ -184,23 +184,23 @@
   od
 }
 
-/* The log takes a claim late, or never; the answer may be lost. */
-inline take(claim) {
-  atomic { sent[claim] ->
-    sent[claim] = 0;
+/* The log appends a claim at any later time or never; its response may be lost. */
+inline append_claim(claim) {
+  atomic { claimSent[claim] ->
+    claimSent[claim] = 0;
     if
     :: winner == 0 -> winner = claim; acknowledge(claim)
     :: winner != 0 -> acknowledge(claim)
-    :: skip /* outage */
+    :: skip /* log outage */
     fi }
 }
 
 active proctype Log() {
 end:
   do
-  :: take(1)
-  :: take(2)
-  :: take(3)
+  :: append_claim(1)
+  :: append_claim(2)
+  :: append_claim(3)
   od
 }
 
@@ -216,16 +216,17 @@
 #endif
 
 #ifdef BELIEVED_TOO_LATE
-#define MAY_BE_BELIEVED true
+#define MAY_ACCEPT_REVOCATION true
 #else
-#define MAY_BE_BELIEVED (phase < 2)
+#define MAY_ACCEPT_REVOCATION (phase < 2)
 #endif
 
-inline listen(i) {
+inline receive_reply(i) {
   atomic { reply[i] != SILENT ->
     if
     :: IS_FROM_ADDRESSEE(i) && reply[i] == SAYS_NOT_RUN -> known[i] = NOT_RUN
-    :: IS_FROM_ADDRESSEE(i) && reply[i] == SAYS_REVOKED && MAY_BE_BELIEVED -> known[i] = NOT_RUN
+    :: IS_FROM_ADDRESSEE(i) && reply[i] == SAYS_REVOKED && MAY_ACCEPT_REVOCATION ->
+       known[i] = NOT_RUN
     :: !IS_FROM_ADDRESSEE(i) -> skip
     :: reply[i] == SAYS_REVOKED && phase > 0 -> skip
     fi;
@@ -233,7 +234,7 @@
     replyFrom[i] = 0 }
 }
 
-inline lose(i) {
+inline lose_link(i) {
 #ifdef LOST_LINK_IS_NOT_RUN
   atomic { known[i] == OPEN -> known[i] = NOT_RUN }
 #else
@@ -242,23 +243,23 @@
 }
 
 inline revoke(i) {
-  atomic { MAY_BE_REVOKED(i) && known[i] != NOT_RUN && !asked[i] ->
-    asked[i] = 1; revocation[i] = 1; revokedAt[i] = incarnation[AGENT_OF(i)] }
+  atomic { MAY_BE_REVOKED(i) && known[i] != NOT_RUN && !revocationSent[i] ->
+    revocationSent[i] = 1; revocation[i] = 1; revokedAt[i] = incarnation[AGENT_OF(i)] }
 }
 
 inline send(i) {
   atomic { known[i] = OPEN; dispatch[i] = 1; dispatchedTo[i] = incarnation[AGENT_OF(i)] }
 }
 
-/* Keeps the number of states down: what no one reads any more is set to one value. */
-inline forget(i) {
+/* Reduces the number of states by resetting variables that are no longer read. */
+inline reset_attempt(i) {
   known[i] = NONE;
-  asked[i] = 0;
+  revocationSent[i] = 0;
   reply[i] = SILENT;
   replyFrom[i] = 0
 }
 
-/* Answers for good: "not run" only if that is known of every attempt made. */
+/* Gives the final answer: "not run" only if every attempt made is known not to have run. */
 inline finish(e, i, j) {
   atomic {
     if
@@ -268,20 +269,20 @@
     :: else -> skip
     fi;
     answered[e] = 1;
-    forget(i);
-    forget(j)
+    reset_attempt(i);
+    reset_attempt(j)
   }
 }
 
 active proctype Entry0() {
   send(0);
   do
-  :: listen(0)
-  :: lose(0)
+  :: receive_reply(0)
+  :: lose_link(0)
   :: revoke(0)
   :: atomic { (known[0] == NOT_RUN || known[0] == UNKNOWN) && known[1] == NONE -> send(1) }
-  :: listen(1)
-  :: lose(1)
+  :: receive_reply(1)
+  :: lose_link(1)
   :: revoke(1)
   :: finish(0, 0, 1); break
   od
@@ -290,8 +291,8 @@
 active proctype Entry1() {
   send(2);
   do
-  :: listen(2)
-  :: lose(2)
+  :: receive_reply(2)
+  :: lose_link(2)
   :: revoke(2)
   :: finish(1, 2, 2); break
   od
