--- a/spec/fencing.pml
+++ b/spec/fencing.pml
@@ -25,15 +25,15 @@
 bool inFlight[3];
 byte inEffect;
 byte lossesLeft = 1;
-byte highestSeen;
+byte highest;
 bool relearned;
-byte awaitedToken;
+byte awaited; /* token of the command whose response is awaited, or 0 */
 byte restartsLeft = RESTARTS;
 
 #ifdef NO_TOKEN_CHECK
 #define TOKEN_OK(token) true
 #else
-#define TOKEN_OK(token) (token >= highestSeen)
+#define TOKEN_OK(token) (token >= highest)
 #endif
 #ifdef NO_SETTLE
 #define SETTLED true
@@ -45,24 +45,23 @@
 #else
 #define RELEARNED relearned
 #endif
-#define SEND(token) atomic { RELEARNED && awaitedToken == 0 && requested[token] && \
-    TOKEN_OK(token) && SETTLED && inEffect != token && !inFlight[token] -> \
-    highestSeen = (token > highestSeen -> token : highestSeen); \
-    inFlight[token] = true; awaitedToken = token }
+#define SEND(token) atomic { RELEARNED && awaited == 0 && requested[token] && TOKEN_OK(token) && \
+    SETTLED && inEffect != token && !inFlight[token] -> \
+    highest = (token > highest -> token : highest); inFlight[token] = true; awaited = token }
 
 proctype Agent() {
 end:
   do
   :: atomic { !relearned ->
-       highestSeen = (highestIssued > highestSeen -> highestIssued : highestSeen);
+       highest = (highestIssued > highest -> highestIssued : highest);
        relearned = true }
   :: SEND(1)
   :: SEND(2)
-  :: atomic { awaitedToken != 0 && !inFlight[awaitedToken] -> awaitedToken = 0 }
+  :: atomic { awaited != 0 && !inFlight[awaited] -> awaited = 0 }
   /* The response is lost; the command may still take effect. */
-  :: atomic { awaitedToken != 0 && inFlight[awaitedToken] -> awaitedToken = 0 }
+  :: atomic { awaited != 0 && inFlight[awaited] -> awaited = 0 }
   :: atomic { restartsLeft > 0 ->
-       restartsLeft--; relearned = false; highestSeen = 0; awaitedToken = 0 }
+       restartsLeft--; relearned = false; highest = 0; awaited = 0 }
   od
 }
 
