--- a/bench/src/main/java/dev/ibishub/bench/crashes/BlamePolicy.java
+++ b/bench/src/main/java/dev/ibishub/bench/crashes/BlamePolicy.java
@@ -49,7 +49,7 @@
     };
   }
 
-  /** Returns the policy that entries use. */
+  /** Returns the policy that entries use on the platform, {@link CrashBlame}. */
   static BlamePolicy consecutive() {
     CrashBlame blame = new CrashBlame();
     return new BlamePolicy() {
--- a/bench/src/main/java/dev/ibishub/bench/limits/LimitRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/limits/LimitRun.java
@@ -19,6 +19,8 @@
 /**
  * Simulation of entries that send to targets, some of which announce a rate limit for a while, as
  * entries are killed and restarted. Not thread-safe; the same seed gives the same run.
+ *
+ * <p>The entries keep limits by {@link SharedLimits}, as on the platform.
  */
 final class LimitRun {
   private static final long DURATION_MILLIS = 60_000;
@@ -165,21 +167,23 @@
         .collect(Collectors.toSet());
   }
 
-  private void sendToPeers(Entry from, List<LimitWord> reports, long now) {
-    if (reports.isEmpty()) {
+  private void sendToPeers(Entry from, List<LimitWord> statements, long now) {
+    if (statements.isEmpty()) {
       return;
     }
-    entries.stream().filter(other -> other != from).forEach(other -> deliver(other, reports, now));
+    entries.stream()
+        .filter(other -> other != from)
+        .forEach(other -> deliver(other, statements, now));
   }
 
-  private void deliver(Entry entry, List<LimitWord> reports, long now) {
+  private void deliver(Entry entry, List<LimitWord> statements, long now) {
     long delay = randomMillis(MAX_PEER_DELAY_MILLIS);
     after(
         now,
         delay,
         () -> {
           if (entry.isAlive()) {
-            reports.forEach(report -> entry.limits.onWord(report, now + delay));
+            statements.forEach(statement -> entry.limits.onWord(statement, now + delay));
           }
         });
   }
@@ -273,7 +277,7 @@
     entry
         .limits
         .onAnswer(incarnation(target), limit, sentAt, now)
-        .ifPresent(report -> sendToPeers(entry, List.of(report), now));
+        .ifPresent(statement -> sendToPeers(entry, List.of(statement), now));
   }
 
   private static String incarnation(int target) {
--- a/bench/src/main/java/dev/ibishub/bench/routing/RoutePolicies.java
+++ b/bench/src/main/java/dev/ibishub/bench/routing/RoutePolicies.java
@@ -16,7 +16,8 @@
 import java.util.Set;
 
 /**
- * The production router, the baselines, and an oracle that knows the actual state of all targets.
+ * The router of ibishub's own interface, the baselines, and an oracle that knows the actual state
+ * of all targets.
  */
 final class RoutePolicies {
   static final String IBISHUB = "ibishub";
