--- a/agent/src/main/java/dev/ibishub/agent/AttemptRunner.java
+++ b/agent/src/main/java/dev/ibishub/agent/AttemptRunner.java
@@ -95,8 +95,7 @@
     }
     switch (table.offer(id, deadline, now)) {
       case QUEUED -> enqueue(link, dispatch, deadline, now);
-      case REVOKED ->
-          answer(link, id, ResultCode.REVOKED, "the attempt was revoked before it arrived");
+      case REVOKED -> answer(link, id, ResultCode.REVOKED, "the attempt was withdrawn before");
       case DUPLICATE -> logger.atFine().log("%s", LogEvent.of("attempt.duplicate").with("id", id));
       default -> throw new AssertionError();
     }
@@ -267,7 +266,7 @@
                 attempt));
     if (!queued) {
       table.revoke(attempt.id(), now);
-      returnAsNotRun(attempt.id(), ResultCode.REVOKED, "the attempt is already queued");
+      returnAsNotRun(attempt.id(), ResultCode.REVOKED, "the attempt waits already");
       return;
     }
     metrics.dispatched();
@@ -358,7 +357,7 @@
   private boolean revokeQueued(String attemptId) {
     boolean revoked = table.revoke(attemptId, clock.instant());
     if (revoked) {
-      returnAsNotRun(attemptId, ResultCode.REVOKED, "revoked before the start");
+      returnAsNotRun(attemptId, ResultCode.REVOKED, "withdrawn before the start");
     }
     return revoked;
   }
--- a/agent/src/main/java/dev/ibishub/agent/ClaimBucket.java
+++ b/agent/src/main/java/dev/ibishub/agent/ClaimBucket.java
@@ -65,7 +65,7 @@
     synchronized (this) {
       if (!isReady()) {
         return CompletableFuture.failedFuture(
-            refusal(ResultCode.NOT_READY, "the claims on the log have not been read yet", now));
+            refusal(ResultCode.NOT_READY, "the claims on the log are not read yet", now));
       }
       try {
         Optional<ClaimResult> known = ledger.tryClaim(request, now);
@@ -178,7 +178,7 @@
         apply(offset, batch, now, completions);
       } else if (failure != null && isCertainlyNotAppended(failure)) {
         ResultException refusal =
-            refusal(ResultCode.LOG_UNAVAILABLE, "the log is unavailable for claims", now);
+            refusal(ResultCode.LOG_UNAVAILABLE, "the log takes no claims", now);
         batch.forEach(
             claim ->
                 waiting
@@ -211,9 +211,7 @@
         completions.add(() -> claim.result().complete(result.get()));
       } else {
         refuse(
-            claim,
-            refusal(ResultCode.LOG_UNAVAILABLE, "the claim was not kept in the ledger", now),
-            completions);
+            claim, refusal(ResultCode.LOG_UNAVAILABLE, "the claim was not kept", now), completions);
       }
     } catch (ResultException e) {
       refuse(claim, e, completions);
--- a/agent/src/main/java/dev/ibishub/agent/FencingTokens.java
+++ b/agent/src/main/java/dev/ibishub/agent/FencingTokens.java
@@ -38,7 +38,7 @@
                 CompletableFuture.failedFuture(
                     new ResultException(
                         ResultCode.LOG_UNAVAILABLE,
-                        "the log did not deliver the configuration revision in force in time",
+                        "the log has not shown the revision in force",
                         clock.instant().plusSeconds(1))))
         .whenComplete((done, failure) -> follower.close());
   }
--- a/agent/src/main/java/dev/ibishub/agent/OrderController.java
+++ b/agent/src/main/java/dev/ibishub/agent/OrderController.java
@@ -104,7 +104,7 @@
         gate.admit(
             request.getOrderId(), request.getFencingToken(), state.lastOrderId(), clock.instant());
     if (code == ResultCode.ACCEPTED) {
-      return CompletableFuture.completedFuture(reply(request, ResultCode.OK, "already done"));
+      return CompletableFuture.completedFuture(reply(request, ResultCode.OK, "done before"));
     }
     if (code != ResultCode.OK) {
       return CompletableFuture.completedFuture(reply(request, code, "refused by the agent"));
--- a/agent/src/main/java/dev/ibishub/agent/RankController.java
+++ b/agent/src/main/java/dev/ibishub/agent/RankController.java
@@ -87,14 +87,11 @@
     Optional<dev.ibishub.core.GroupCommand> known = toCore(command);
     if (known.isEmpty()) {
       return CompletableFuture.completedFuture(
-          refusal(
-              command,
-              ResultCode.PROTOCOL_VIOLATION,
-              "no epoch, no sequence number or unknown kind"));
+          refusal(command, ResultCode.PROTOCOL_VIOLATION, "unnumbered or of an unknown kind"));
     }
     if (clock.instant().isBefore(settledAt)) {
       return CompletableFuture.completedFuture(
-          refusal(command, ResultCode.NOT_READY, "an earlier order may still take effect"));
+          refusal(command, ResultCode.NOT_READY, "an order may yet take effect"));
     }
     return engine
         .rank()
--- a/agent/src/main/java/dev/ibishub/agent/ServiceBackend.java
+++ b/agent/src/main/java/dev/ibishub/agent/ServiceBackend.java
@@ -140,8 +140,7 @@
     if (buffer.isEmpty()) {
       return CompletableFuture.failedFuture(
           new ResultException(
-              ResultCode.ANSWER_NO_LONGER_KEPT,
-              "the call has already run and its answer is no longer kept"));
+              ResultCode.ANSWER_NO_LONGER_KEPT, "the call ran before, its answer is gone"));
     }
     CompletableFuture<?> ended =
         Optional.ofNullable(running.get(sourceAttemptId))
@@ -157,8 +156,7 @@
         .orElseThrow(
             () ->
                 new ResultException(
-                    ResultCode.ALREADY_RUNNING,
-                    "the call is running and its answer is not complete yet"));
+                    ResultCode.ALREADY_RUNNING, "the call runs and its answer is not here yet"));
   }
 
   private static boolean provesNotRun(Throwable thrown) {
--- a/agent/src/main/java/dev/ibishub/agent/WeightReserver.java
+++ b/agent/src/main/java/dev/ibishub/agent/WeightReserver.java
@@ -26,9 +26,7 @@
     if (clock.instant().isBefore(retryAt)) {
       return CompletableFuture.failedFuture(
           new ResultException(
-              ResultCode.WEIGHT_STORE_BUSY,
-              "the weight store refused; not asked again before its retry time",
-              retryAt));
+              ResultCode.WEIGHT_STORE_BUSY, "not before the store's time", retryAt));
     }
     return store
         .reserve(wanted.weights(), wanted.bytes())
--- a/engines/src/main/java/dev/ibishub/engines/GenerationReader.java
+++ b/engines/src/main/java/dev/ibishub/engines/GenerationReader.java
@@ -87,8 +87,7 @@
         nextPiece++;
         listener.onPiece(next.number(), next.text());
       } else {
-        failure =
-            engineFailed("piece " + next.number() + " came where " + nextPiece + " was expected");
+        failure = engineFailed("piece " + next.number() + " where " + nextPiece + " was due");
       }
     } catch (IOException e) {
       failure = engineFailed("unreadable line");
@@ -102,11 +101,11 @@
       throw failure;
     }
     if (end == null) {
-      throw engineFailed("the answer stopped without an end line, at piece " + nextPiece);
+      throw engineFailed("the answer broke off before its end, at piece " + nextPiece);
     }
     if (end.pieces() != nextPiece) {
       throw engineFailed(
-          "the end line counts " + end.pieces() + " pieces, " + nextPiece + " were read");
+          "the end tells of " + end.pieces() + " pieces, " + nextPiece + " were read");
     }
     return end;
   }
