--- a/administration/src/main/java/dev/ibishub/administration/ConfigurationFollower.java
+++ b/administration/src/main/java/dev/ibishub/administration/ConfigurationFollower.java
@@ -176,8 +176,8 @@
     }
   }
 
-  /** Returns an encoded snapshot for a peer that is behind; see {@link #offer}. */
-  public byte[] transfer() {
+  /** Returns an encoded snapshot for a peer that is behind; see {@link #acceptPeerSnapshot}. */
+  public byte[] encodeSnapshot() {
     synchronized (lock) {
       return ConfigurationCodec.encode(reader.snapshot(UUID.randomUUID().toString()));
     }
@@ -186,15 +186,15 @@
   /**
    * Applies a snapshot from a peer. Invalid bytes and outdated snapshots are ignored.
    *
-   * @param transfer the bytes that {@link #transfer} returned in another process
+   * @param transfer the bytes that {@link #encodeSnapshot} returned in another process
    */
-  public void offer(byte[] transfer) {
+  public void acceptPeerSnapshot(byte[] transfer) {
     ConfigurationCodec.decodeSnapshot(transfer)
         .ifPresent(
             snapshot ->
                 update(
                     () -> {
-                      reader.accept(snapshot);
+                      reader.adoptPeerState(snapshot);
                       reader.rejoin(firstRetainedOffset);
                     }));
   }
@@ -227,7 +227,8 @@
     synchronized (lock) {
       long revision = reader.state().revision();
       Instant due =
-          SnapshotSchedule.dueAt(reader.keptSince(), retention, processId, liveEntries, revision);
+          SnapshotSchedule.dueAt(
+              reader.restorePointAt(), retention, processId, liveEntries, revision);
       return reader.maySnapshot() && !options.clock().instant().isBefore(due)
           ? Optional.of(ConfigurationCodec.encode(reader.snapshot(UUID.randomUUID().toString())))
           : Optional.empty();
@@ -239,7 +240,7 @@
    */
   String describeConflictingChange(long basedOnRevision) {
     synchronized (lock) {
-      return reader.winnerOver(basedOnRevision);
+      return reader.describeConflictingChange(basedOnRevision);
     }
   }
 
--- a/administration/src/main/java/dev/ibishub/administration/ConfigurationSnapshots.java
+++ b/administration/src/main/java/dev/ibishub/administration/ConfigurationSnapshotWriter.java
@@ -14,7 +14,7 @@
  * log's retention deletes it. Every entry has one and calls {@link #appendIfDue} every few seconds.
  * Thread-safe.
  */
-public final class ConfigurationSnapshots {
+public final class ConfigurationSnapshotWriter {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private final AppendOnlyLog log;
@@ -24,7 +24,7 @@
   private final Duration retention;
   private final AtomicBoolean appendInFlight = new AtomicBoolean();
 
-  private ConfigurationSnapshots(
+  private ConfigurationSnapshotWriter(
       AppendOnlyLog log,
       ConfigurationFollower follower,
       String processId,
@@ -46,13 +46,13 @@
    * @param liveEntries supplies the ids of the entries that this process considers live
    * @param retention how long the log keeps records
    */
-  public static ConfigurationSnapshots create(
+  public static ConfigurationSnapshotWriter create(
       AppendOnlyLog log,
       ConfigurationFollower follower,
       String processId,
       Supplier<Collection<String>> liveEntries,
       Duration retention) {
-    return new ConfigurationSnapshots(log, follower, processId, liveEntries, retention);
+    return new ConfigurationSnapshotWriter(log, follower, processId, liveEntries, retention);
   }
 
   /**
--- a/administration/src/main/java/dev/ibishub/administration/OperatorApi.java
+++ b/administration/src/main/java/dev/ibishub/administration/OperatorApi.java
@@ -239,7 +239,7 @@
     String order = parts[3];
     long revisionInForce = follower.state().revision();
     return orders
-        .give(target, order, call.operator().name())
+        .send(target, order, call.operator().name())
         .whenComplete(
             (ignored, failure) ->
                 recordInAuditTrail(call, order, "target:" + target, revisionInForce, failure))
--- a/administration/src/main/java/dev/ibishub/administration/TargetOrders.java
+++ b/administration/src/main/java/dev/ibishub/administration/TargetOrders.java
@@ -14,5 +14,5 @@
    * @return completes once the target's agent has accepted the order; fails with {@code NOT_FOUND},
    *     {@code TARGET_UNREACHABLE} or {@code ORDER_UNDECIDED}
    */
-  CompletableFuture<Void> give(String target, String order, String operator);
+  CompletableFuture<Void> send(String target, String order, String operator);
 }
--- a/administration/src/test/java/dev/ibishub/administration/ConfigurationPublisherTest.java
+++ b/administration/src/test/java/dev/ibishub/administration/ConfigurationPublisherTest.java
@@ -166,7 +166,7 @@
         ConfigurationFollower.create(log, "tbilisi", ConfigurationFollower.Options.defaults());
     assertThat(newFollower.isKnown()).isFalse();
 
-    newFollower.offer(firstFollower.transfer());
+    newFollower.acceptPeerSnapshot(firstFollower.encodeSnapshot());
 
     assertThat(newFollower.current()).isEqualTo(firstFollower.current());
     assertThat(newFollower.digest()).isEqualTo(firstFollower.digest());
@@ -179,8 +179,8 @@
   @Test
   void newProcessLearnsConfigurationFromSnapshotAfterRecordsAreDeleted() {
     publisher(firstFollower, LONG_TIMEOUT).publish("", SITES, 0, "nino").join();
-    ConfigurationSnapshots snapshots =
-        ConfigurationSnapshots.create(
+    ConfigurationSnapshotWriter snapshots =
+        ConfigurationSnapshotWriter.create(
             log, firstFollower, "e1", () -> List.of("e1"), Duration.ofDays(1));
 
     assertThat(snapshots.appendIfDue().join()).isTrue();
--- a/agent/src/main/java/dev/ibishub/agent/Agent.java
+++ b/agent/src/main/java/dev/ibishub/agent/Agent.java
@@ -21,7 +21,7 @@
 import dev.ibishub.outbound.WeightReservation;
 import dev.ibishub.outbound.WeightStore;
 import dev.ibishub.runtime.LogEvent;
-import dev.ibishub.runtime.MetricsPage;
+import dev.ibishub.runtime.MonitoringEndpoints;
 import dev.ibishub.settings.AgentSettings;
 import dev.ibishub.settings.AgentSettings.Kind;
 import dev.ibishub.wire.Identity;
@@ -163,7 +163,7 @@
     int port = transport.listen(settings.host(), settings.port(), links).join();
     HttpServer metricsServer =
         HttpServer.create(new InetSocketAddress(settings.host(), settings.metricsPort()), 0);
-    MetricsPage.addTo(metricsServer, metrics.registry(), this::isReady);
+    MonitoringEndpoints.addTo(metricsServer, metrics.registry(), this::isReady);
     metricsServer.start();
     metrics.gauge("ibishub_agent_queued", "Attempts that wait.", runner::queued);
     metrics.gauge("ibishub_agent_running", "Attempts that run.", runner::running);
--- a/agent/src/main/java/dev/ibishub/agent/AgentMain.java
+++ b/agent/src/main/java/dev/ibishub/agent/AgentMain.java
@@ -2,8 +2,8 @@
 
 import dev.ibishub.runtime.CommandLine;
 import dev.ibishub.runtime.LogSetup;
+import dev.ibishub.runtime.ProcessSignals;
 import dev.ibishub.runtime.Startup;
-import dev.ibishub.runtime.StopSignals;
 import dev.ibishub.settings.AgentSettings;
 import dev.ibishub.settings.LogFormat;
 import dev.ibishub.settings.SettingsException;
@@ -26,8 +26,8 @@
     AgentSettings settings = readOrExit(file);
     LogSetup.configure(
         settings.logFormat() == LogFormat.JSON ? "json" : "key-value", settings.targetId());
-    Agent agent = Startup.orEnd(() -> Agent.start(settings));
-    StopSignals.onStop(
+    Agent agent = Startup.startOrExit(() -> Agent.start(settings));
+    ProcessSignals.onStop(
         () -> {
           agent.drain();
           System.exit(0);
--- a/agent/src/main/java/dev/ibishub/agent/AnswerRelay.java
+++ b/agent/src/main/java/dev/ibishub/agent/AnswerRelay.java
@@ -51,7 +51,7 @@
     synchronized (this) {
       credit += chunks;
       granted += chunks;
-      buffer.release(granted);
+      buffer.acknowledge(granted);
     }
     pump();
   }
@@ -103,7 +103,7 @@
 
   private void finish(AnswerEnd end) {
     finished = true;
-    buffer.release(window + granted);
+    buffer.acknowledge(window + granted);
     link.offer(Frame.newBuilder().setEnd(AnswerEnds.toWire(buffer.attemptId(), end)).build());
   }
 }
--- a/agent/src/main/java/dev/ibishub/agent/ClaimBucket.java
+++ b/agent/src/main/java/dev/ibishub/agent/ClaimBucket.java
@@ -77,7 +77,8 @@
       }
       waiting.add(claim);
     }
-    timer.at(earlier(request.deadline(), now.plus(options.patience())), () -> timeOut(claim));
+    timer.at(
+        earlier(request.deadline(), now.plus(options.confirmationTimeout())), () -> timeOut(claim));
     append();
     return claim.result();
   }
@@ -240,7 +241,7 @@
   }
 
   private ResultException refusal(ResultCode code, String detail, Instant now) {
-    return new ResultException(code, detail, now.plus(options.patience()));
+    return new ResultException(code, detail, now.plus(options.confirmationTimeout()));
   }
 
   private static boolean isCertainlyNotAppended(Throwable failure) {
--- a/agent/src/main/java/dev/ibishub/agent/ClaimWriterOptions.java
+++ b/agent/src/main/java/dev/ibishub/agent/ClaimWriterOptions.java
@@ -10,8 +10,8 @@
  * @param ledger the options of each bucket's ledger
  * @param maximumBatch the maximum number of claims in one append
  * @param appendInterval the minimum time between two appends of a bucket
- * @param patience how long a claim waits for confirmation by the log before it is refused; also the
- *     time after which a refused caller may retry
+ * @param confirmationTimeout how long a claim waits for confirmation by the log before it is
+ *     refused; also the time after which a refused caller may retry
  * @param longPoll how long a read waits for a record
  * @param readBackoff the delay before the next read after a failed one
  */
@@ -20,7 +20,7 @@
     ClaimLedgerOptions ledger,
     int maximumBatch,
     Duration appendInterval,
-    Duration patience,
+    Duration confirmationTimeout,
     Duration longPoll,
     Duration readBackoff) {
   /** Checks that the counts are positive. */
--- a/agent/src/main/java/dev/ibishub/agent/OrderController.java
+++ b/agent/src/main/java/dev/ibishub/agent/OrderController.java
@@ -31,7 +31,7 @@
   private final InstantSource clock;
   private final SequentialCalls calls = new SequentialCalls();
   private final OrderGate gate;
-  private boolean relearned;
+  private boolean highestTokenRestored;
 
   /**
    * Creates the controller of an agent that has just started.
@@ -76,7 +76,7 @@
       return CompletableFuture.completedFuture(
           reply(request, ResultCode.MALFORMED_REQUEST, "unknown kind or no order id"));
     }
-    return relearnHighestToken()
+    return restoreHighestToken()
         .thenCompose(unused -> engine.state())
         .thenCompose(state -> decide(request, kind.get(), state))
         .exceptionally(
@@ -84,22 +84,22 @@
                 reply(request, FutureFailures.codeOf(failure), FutureFailures.messageOf(failure)));
   }
 
-  private CompletableFuture<Void> relearnHighestToken() {
-    if (relearned) {
+  private CompletableFuture<Void> restoreHighestToken() {
+    if (highestTokenRestored) {
       return CompletableFuture.completedFuture(null);
     }
     return highestToken
         .get()
         .thenAccept(
             token -> {
-              gate.relearn(token);
-              relearned = true;
+              gate.restoreHighestToken(token);
+              highestTokenRestored = true;
             });
   }
 
   private CompletableFuture<OrderReply> decide(
       OrderRequest request, EngineOrder.Kind kind, EngineState state) {
-    gate.relearn(state.highestFencingToken());
+    gate.restoreHighestToken(state.highestFencingToken());
     ResultCode code =
         gate.admit(
             request.getOrderId(), request.getFencingToken(), state.lastOrderId(), clock.instant());
--- a/agent/src/main/java/dev/ibishub/agent/RankController.java
+++ b/agent/src/main/java/dev/ibishub/agent/RankController.java
@@ -105,7 +105,7 @@
   private CompletableFuture<GroupReply> decide(
       GroupCommand wire, dev.ibishub.core.GroupCommand command, RankStatus before) {
     RankGate.Verdict verdict = gate.admit(command, before);
-    if (!verdict.order()) {
+    if (!verdict.forward()) {
       return CompletableFuture.completedFuture(toWire(gate.reply(command, verdict.code(), before)));
     }
     return reserve(wire)
--- a/agent/src/main/java/dev/ibishub/agent/ServiceBackend.java
+++ b/agent/src/main/java/dev/ibishub/agent/ServiceBackend.java
@@ -14,7 +14,7 @@
 import dev.ibishub.engines.ServiceAnswer;
 import dev.ibishub.engines.ServiceRequest;
 import dev.ibishub.wire.AnswerEnds;
-import dev.ibishub.wire.ClaimHolder;
+import dev.ibishub.wire.ClaimHolderHeader;
 import dev.ibishub.wire.generated.ServiceCall;
 import java.time.InstantSource;
 import java.util.Arrays;
@@ -74,11 +74,12 @@
               if (result instanceof ClaimResult.RunningHere here) {
                 return copyAnswerOf(here.attemptId(), attempt);
               }
-              if (result instanceof ClaimResult.Kept kept) {
-                return copyAnswerOf(kept.attemptId(), attempt);
+              if (result instanceof ClaimResult.FinishedHere finished) {
+                return copyAnswerOf(finished.attemptId(), attempt);
               }
               if (result instanceof ClaimResult.HeldBy held) {
-                return CompletableFuture.completedFuture(ClaimHolder.end(held.holder()));
+                return CompletableFuture.completedFuture(
+                    ClaimHolderHeader.alreadyRunning(held.holder()));
               }
               return runClaimed(attempt, request);
             });
--- a/agent/src/test/java/dev/ibishub/agent/ClaimWriterTest.java
+++ b/agent/src/test/java/dev/ibishub/agent/ClaimWriterTest.java
@@ -63,7 +63,7 @@
             defaults.ledger(),
             defaults.maximumBatch(),
             Duration.ZERO,
-            defaults.patience(),
+            defaults.confirmationTimeout(),
             defaults.longPoll(),
             defaults.readBackoff());
     ClaimWriter writer = startedWriter(noInterval);
@@ -87,7 +87,8 @@
     assertThat(first).isCompletedWithValue(WON);
     assertThat(second).isCompletedWithValue(new ClaimResult.RunningHere("a"));
     writer.finished(request("k", "a").claimKey(), "a");
-    assertThat(writer.claim(request("k", "c"))).isCompletedWithValue(new ClaimResult.Kept("a"));
+    assertThat(writer.claim(request("k", "c")))
+        .isCompletedWithValue(new ClaimResult.FinishedHere("a"));
   }
 
   @Test
--- a/bench/src/main/java/dev/ibishub/bench/capacity/EntryMeasures.java
+++ b/bench/src/main/java/dev/ibishub/bench/capacity/EntryMeasures.java
@@ -251,14 +251,14 @@
 
   private static Probe.Cost connect(int count) {
     Membership membership = membership(count);
-    return Probe.costOf(FEW_CALLS, call -> membership.connectTo());
+    return Probe.costOf(FEW_CALLS, call -> membership.membersToLink());
   }
 
   static Membership membership(int count) {
     Membership membership = Membership.create(member(0), MembershipOptions.defaults());
     List<MemberRecord> others = new ArrayList<>();
     IntStream.range(1, count).forEach(number -> others.add(member(number)));
-    membership.listed(others, NOW);
+    membership.applyList(others, NOW);
     membership.merge(others, NOW);
     return membership;
   }
--- a/bench/src/main/java/dev/ibishub/bench/claims/ClaimRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/claims/ClaimRun.java
@@ -76,7 +76,7 @@
         grouped.ledger(),
         1,
         Duration.ZERO,
-        grouped.patience(),
+        grouped.confirmationTimeout(),
         grouped.longPoll(),
         grouped.readBackoff());
   }
--- a/bench/src/main/java/dev/ibishub/bench/crashes/BlamePolicy.java
+++ b/bench/src/main/java/dev/ibishub/bench/crashes/BlamePolicy.java
@@ -1,8 +1,8 @@
 package dev.ibishub.bench.crashes;
 
-import dev.ibishub.core.serving.CrashBlame;
 import dev.ibishub.core.serving.CrashedRun;
 import dev.ibishub.core.serving.RequestIdentity;
+import dev.ibishub.core.serving.RequestQuarantine;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -49,24 +49,26 @@
     };
   }
 
-  /** Returns the policy that entries use on the platform, {@link CrashBlame}. */
+  /** Returns the policy that entries use on the platform, {@link RequestQuarantine}. */
   static BlamePolicy consecutive() {
-    CrashBlame blame = new CrashBlame();
+    RequestQuarantine quarantine = new RequestQuarantine();
     return new BlamePolicy() {
       @Override
       public void onCompleted(RequestIdentity request) {
-        blame.onCompleted(request);
+        quarantine.onCompleted(request);
       }
 
       @Override
       public void onCrash(List<CrashedRun> inFlight) {
-        inFlight.forEach(blame::onBroken);
-        inFlight.stream().findFirst().ifPresent(run -> blame.onCrashed(run.targetLife()));
+        inFlight.forEach(quarantine::onBroken);
+        inFlight.stream()
+            .findFirst()
+            .ifPresent(run -> quarantine.onCrashed(run.targetIncarnation()));
       }
 
       @Override
       public boolean isQuarantined(RequestIdentity request, long now) {
-        return blame.isQuarantined(request, now);
+        return quarantine.isQuarantined(request, now);
       }
     };
   }
--- a/bench/src/main/java/dev/ibishub/bench/experts/ExpertsBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/experts/ExpertsBench.java
@@ -109,7 +109,7 @@
     // All policies start from the same map, planned for the popularity of the first tick.
     ExpertMap map =
         FullReplan.plan(
-            ExpertMap.inTurn(size.layers(), size.ranks(), size.slots(), EXPERTS),
+            ExpertMap.roundRobin(size.layers(), size.ranks(), size.slots(), EXPERTS),
             drift.popularity(0),
             drift.slowness(0));
     List<Chart.Point> points = new ArrayList<>();
--- a/bench/src/main/java/dev/ibishub/bench/experts/PlacementBench.java
+++ b/bench/src/main/java/dev/ibishub/bench/experts/PlacementBench.java
@@ -5,7 +5,7 @@
 import dev.ibishub.bench.BenchReport;
 import dev.ibishub.bench.BenchTable;
 import dev.ibishub.core.ranks.GroupMap;
-import dev.ibishub.core.ranks.MapEconomy;
+import dev.ibishub.core.ranks.MapCostModel;
 import dev.ibishub.core.ranks.PlacementLimits;
 import dev.ibishub.core.ranks.PlacementPlanner;
 import java.lang.management.ManagementFactory;
@@ -43,8 +43,8 @@
       return IntStream.range(0, ranks).mapToDouble(rank -> 1).toArray();
     }
 
-    GroupMap inTurn() {
-      return GroupMap.inTurn(ranks, sets, experts);
+    GroupMap roundRobin() {
+      return GroupMap.roundRobin(ranks, sets, experts);
     }
   }
 
@@ -107,10 +107,10 @@
   private static UnaryOperator<GroupMap> planner(Size size, double[][] demand) {
     int perRank = size.sets() * size.spare();
     PlacementLimits limits = new PlacementLimits(size.places(), size.spare(), perRank, TARGET_SKEW);
-    MapEconomy economy =
-        new MapEconomy(skew -> 40 + 60 * skew, size.fetchMillis(), 150, 0.15, 4_000);
+    MapCostModel costModel =
+        new MapCostModel(skew -> 40 + 60 * skew, size.fetchMillis(), 150, 0.15, 4_000);
     return map ->
-        PlacementPlanner.plan(map, demand, size.slowness(), limits, economy)
+        PlacementPlanner.plan(map, demand, size.slowness(), limits, costModel)
             .map(PlacementPlanner.Plan::map)
             .orElse(map);
   }
@@ -126,7 +126,7 @@
 
   private static Series series(
       String policy, Size size, double[][] demand, UnaryOperator<GroupMap> planner) {
-    GroupMap map = size.inTurn();
+    GroupMap map = size.roundRobin();
     List<Double> skews = new ArrayList<>(List.of(map.skew(demand, size.slowness())));
     int fetches = 0;
     double slowestMillis = 0;
--- a/bench/src/main/java/dev/ibishub/bench/limits/LimitRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/limits/LimitRun.java
@@ -1,7 +1,7 @@
 package dev.ibishub.bench.limits;
 
 import dev.ibishub.core.serving.LimitDivision;
-import dev.ibishub.core.serving.LimitWord;
+import dev.ibishub.core.serving.LimitStatement;
 import dev.ibishub.core.serving.SharedLimits;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -155,7 +155,7 @@
       return;
     }
     limits.tick(view(entry, now), now);
-    sendToPeers(entry, limits.takeDue(), now);
+    sendToPeers(entry, limits.takeDueBroadcasts(), now);
     after(now, TICK_MILLIS, () -> tick(entry, limits, now + TICK_MILLIS));
   }
 
@@ -167,7 +167,7 @@
         .collect(Collectors.toSet());
   }
 
-  private void sendToPeers(Entry from, List<LimitWord> statements, long now) {
+  private void sendToPeers(Entry from, List<LimitStatement> statements, long now) {
     if (statements.isEmpty()) {
       return;
     }
@@ -176,14 +176,14 @@
         .forEach(other -> deliver(other, statements, now));
   }
 
-  private void deliver(Entry entry, List<LimitWord> statements, long now) {
+  private void deliver(Entry entry, List<LimitStatement> statements, long now) {
     long delay = randomMillis(MAX_PEER_DELAY_MILLIS);
     after(
         now,
         delay,
         () -> {
           if (entry.isAlive()) {
-            statements.forEach(statement -> entry.limits.onWord(statement, now + delay));
+            statements.forEach(statement -> entry.limits.onPeerStatement(statement, now + delay));
           }
         });
   }
--- a/bench/src/main/java/dev/ibishub/bench/membership/MembershipRun.java
+++ b/bench/src/main/java/dev/ibishub/bench/membership/MembershipRun.java
@@ -55,7 +55,7 @@
   private Result simulate() {
     views.forEach(
         view -> {
-          view.listed(records, events.now());
+          view.applyList(records, events.now());
           view.merge(records, events.now());
         });
     events.every(PERIOD_SECONDS, this::round);
@@ -77,13 +77,13 @@
     Membership view = views.get(from);
     List<MemberRecord> digest = view.digest(events.now());
     int size = MessageMeasures.digestBytes(digest);
-    for (MemberRecord peer : view.connectTo()) {
+    for (MemberRecord peer : view.membersToLink()) {
       int to = Integer.parseInt(peer.id().substring("entry-".length()));
       bytes += size;
       if (isRunning(to) && !isCut(to, from)) {
-        view.heard(peer.id(), peer.incarnation(), events.now());
+        view.recordContact(peer.id(), peer.incarnation(), events.now());
       } else {
-        view.missed(peer.id(), events.now());
+        view.recordFailedProbe(peer.id(), events.now());
       }
       if (isRunning(to) && !isCut(from, to)) {
         views.get(to).merge(digest, events.now());
--- a/core/src/main/java/dev/ibishub/core/ClaimResult.java
+++ b/core/src/main/java/dev/ibishub/core/ClaimResult.java
@@ -18,7 +18,7 @@
    *
    * @param attemptId the attempt that ran it
    */
-  record Kept(String attemptId) implements ClaimResult {}
+  record FinishedHere(String attemptId) implements ClaimResult {}
 
   /**
    * Another process, or an earlier incarnation of this one, claimed the call first. Only the holder
--- a/core/src/main/java/dev/ibishub/core/ConfigurationReader.java
+++ b/core/src/main/java/dev/ibishub/core/ConfigurationReader.java
@@ -35,7 +35,7 @@
   private boolean anchored = true;
   private boolean known;
   private long divergences;
-  private Instant keptSince = Instant.EPOCH;
+  private Instant restorePointAt = Instant.EPOCH;
 
   /**
    * Bounds of a reader's memory.
@@ -108,7 +108,7 @@
     }
     nextOffset++;
     if (offset == 0) {
-      keptSince = appendedAt;
+      restorePointAt = appendedAt;
     }
     record.ifPresent(
         parsed -> {
@@ -137,7 +137,7 @@
    *
    * @param snapshot the peer's state
    */
-  public void accept(ConfigurationSnapshot snapshot) {
+  public void adoptPeerState(ConfigurationSnapshot snapshot) {
     boolean ahead =
         snapshot.nextOffset() > stateOffset && snapshot.state().revision() >= state.revision();
     if (!ahead || !snapshot.state().isIntact()) {
@@ -205,8 +205,8 @@
    * @return the time by the log's clock, or {@link Instant#EPOCH} if this reader has read no such
    *     record
    */
-  public Instant keptSince() {
-    return keptSince;
+  public Instant restorePointAt() {
+    return restorePointAt;
   }
 
   /**
@@ -232,7 +232,7 @@
    *
    * @param basedOnRevision a revision below the one in force
    */
-  public String winnerOver(long basedOnRevision) {
+  public String describeConflictingChange(long basedOnRevision) {
     long contestedRevision = basedOnRevision + 1;
     return events
         .findAccepted(contestedRevision)
@@ -263,7 +263,12 @@
       return;
     }
     if (change.basedOnRevision() != state.revision()) {
-      events.add(eventOf(offset, change, Result.CONFLICT, winnerOver(change.basedOnRevision())));
+      events.add(
+          eventOf(
+              offset,
+              change,
+              Result.CONFLICT,
+              describeConflictingChange(change.basedOnRevision())));
       return;
     }
     Optional<ConfigurationState> result = resultOf(change);
@@ -301,7 +306,7 @@
     if (snapshot.nextOffset() != offset || !snapshot.state().isIntact()) {
       return;
     }
-    keptSince = appendedAt;
+    restorePointAt = appendedAt;
     if (anchored) {
       divergences += snapshot.state().hash().equals(state.hash()) ? 0 : 1;
       return;
--- a/core/src/main/java/dev/ibishub/core/ExpertMap.java
+++ b/core/src/main/java/dev/ibishub/core/ExpertMap.java
@@ -49,7 +49,7 @@
    * @param expertCount number of experts in each layer, at most the number of slots of all ranks
    * @return the map
    */
-  public static ExpertMap inTurn(int layers, int ranks, int slots, int expertCount) {
+  public static ExpertMap roundRobin(int layers, int ranks, int slots, int expertCount) {
     short[] experts = new short[layers * ranks * slots];
     for (int position = 0; position < experts.length; position++) {
       experts[position] = (short) (position % (ranks * slots) % expertCount);
--- a/core/src/main/java/dev/ibishub/core/GroupLeader.java
+++ b/core/src/main/java/dev/ibishub/core/GroupLeader.java
@@ -89,7 +89,7 @@
    * @param rank the rank's number, from 0
    * @param command the command
    */
-  public record Addressed(int rank, GroupCommand command) {}
+  public record AddressedCommand(int rank, GroupCommand command) {}
 
   /**
    * Creates a leader in {@link Phase#PREPARING}.
@@ -140,7 +140,7 @@
    * @param now the current time
    * @return the commands, at most one for each rank
    */
-  public List<Addressed> poll(Instant now) {
+  public List<AddressedCommand> poll(Instant now) {
     if (phase == Phase.HOLDING && now.isAfter(holdUntil)) {
       abandonSwitch();
     }
@@ -395,7 +395,7 @@
 
   private void beginHold(Instant now) {
     holdStep = holdStepEstimator.holdStep(statuses);
-    holdUntil = now.plus(options.holdFor());
+    holdUntil = now.plus(options.holdTimeout());
     enterPhase(Phase.HOLDING);
   }
 
--- a/core/src/main/java/dev/ibishub/core/GroupLeaderOptions.java
+++ b/core/src/main/java/dev/ibishub/core/GroupLeaderOptions.java
@@ -9,14 +9,14 @@
  * @param pollAfter interval at which ranks are polled while one waits for the others
  * @param refreshAfter interval at which the states of the ranks are refreshed while no switch is in
  *     progress
- * @param holdFor time within which all ranks must hold, else the switch is abandoned
+ * @param holdTimeout time within which all ranks must hold, else the switch is abandoned
  * @param minimumLeadSteps minimum number of steps between the newest step reported and the held one
  */
 public record GroupLeaderOptions(
     Duration retryAfter,
     Duration pollAfter,
     Duration refreshAfter,
-    Duration holdFor,
+    Duration holdTimeout,
     int minimumLeadSteps) {
   /** Number of map versions available to one epoch. */
   public static final long MAPS_PER_EPOCH = 1L << 16;
--- a/core/src/main/java/dev/ibishub/core/Membership.java
+++ b/core/src/main/java/dev/ibishub/core/Membership.java
@@ -27,9 +27,9 @@
  * dev.ibishub.core.entries.EntryRoster}.
  *
  * <pre>{@code
- * membership.listed(records, now);
- * membership.heard(id, incarnation, now);      // the process answered a probe
- * membership.missed(id, now);                  // the process did not answer in time
+ * membership.applyList(records, now);
+ * membership.recordContact(id, incarnation, now);  // the process answered a probe
+ * membership.recordFailedProbe(id, now);           // the process did not answer in time
  * membership.merge(peerDigest, now);
  * send(membership.digest(now));
  * }</pre>
@@ -76,12 +76,12 @@
    * @param records the listed processes, with incarnation 0 and state alive or leaving
    * @param now the current time
    */
-  public synchronized void listed(List<MemberRecord> records, Instant now) {
+  public synchronized void applyList(List<MemberRecord> records, Instant now) {
     Set<String> named = records.stream().map(MemberRecord::id).collect(Collectors.toSet());
     List.copyOf(members.values()).stream()
         .filter(known -> known.listed() != named.contains(known.record().id()))
         .forEach(known -> put(known.record().id(), known.withListed(!known.listed())));
-    records.stream().filter(this::isOther).forEach(record -> applyListed(record, now));
+    records.stream().filter(this::isOther).forEach(record -> applyListedRecord(record, now));
     expire(now);
   }
 
@@ -92,7 +92,7 @@
    * @param incarnation the incarnation that it reported
    * @param now the current time
    */
-  public synchronized void heard(String id, long incarnation, Instant now) {
+  public synchronized void recordContact(String id, long incarnation, Instant now) {
     ObservedMember known = members.get(id);
     if (known == null || incarnation < known.record().incarnation()) {
       return;
@@ -113,7 +113,7 @@
    * @param id id of the process
    * @param now the current time
    */
-  public synchronized void missed(String id, Instant now) {
+  public synchronized void recordFailedProbe(String id, Instant now) {
     ObservedMember known = members.get(id);
     if (known == null) {
       return;
@@ -153,7 +153,7 @@
    * @param id id of the process
    * @param now the current time
    */
-  public synchronized void leaving(String id, Instant now) {
+  public synchronized void markLeaving(String id, Instant now) {
     if (id.equals(self.id())) {
       self =
           self.withState(MemberState.LEAVING)
@@ -238,7 +238,7 @@
    *
    * @return the processes, in no particular order
    */
-  public synchronized List<MemberRecord> connectTo() {
+  public synchronized List<MemberRecord> membersToLink() {
     List<MemberRecord> known = chosenLinks.orElseGet(this::chooseLinks);
     chosenLinks = Optional.of(known);
     return known;
@@ -288,7 +288,7 @@
     return !record.id().equals(self.id());
   }
 
-  private void applyListed(MemberRecord record, Instant now) {
+  private void applyListedRecord(MemberRecord record, Instant now) {
     ObservedMember known = members.get(record.id());
     if (known == null) {
       put(record.id(), ObservedMember.of(record.withIncarnation(0, 0), true, now));
--- a/core/src/main/java/dev/ibishub/core/OrderGate.java
+++ b/core/src/main/java/dev/ibishub/core/OrderGate.java
@@ -8,20 +8,20 @@
  * Gate that decides which orders reach an engine, one at a time. Many engines obey any order
  * regardless of its fencing token, so only this gate rejects stale orders. Not thread-safe.
  *
- * <p>It assumes that an order takes effect within {@code settleFor} after the end of the call that
- * delivered it, or never.
+ * <p>It assumes that an order takes effect within {@code settlingTime} after the end of the call
+ * that delivered it, or never.
  */
 public final class OrderGate {
-  private final Duration settleFor;
+  private final Duration settlingTime;
   private Instant undecidedUntil;
   private boolean isTokenRestored;
   private long highestToken;
   private String undecidedId = "";
   private String lastConfirmedId = "";
 
-  private OrderGate(Instant startedAt, Duration settleFor) {
-    this.settleFor = settleFor;
-    this.undecidedUntil = startedAt.plus(settleFor);
+  private OrderGate(Instant startedAt, Duration settlingTime) {
+    this.settlingTime = settlingTime;
+    this.undecidedUntil = startedAt.plus(settlingTime);
   }
 
   /**
@@ -29,11 +29,11 @@
    *
    * @param startedAt when the agent started; an order given by its predecessor may still take
    *     effect after this
-   * @param settleFor how long after the end of its call an order may still take effect
-   * @return a gate that refuses orders until {@link #relearn} is called
+   * @param settlingTime how long after the end of its call an order may still take effect
+   * @return a gate that refuses orders until {@link #restoreHighestToken} is called
    */
-  public static OrderGate create(Instant startedAt, Duration settleFor) {
-    return new OrderGate(startedAt, Objects.requireNonNull(settleFor));
+  public static OrderGate create(Instant startedAt, Duration settlingTime) {
+    return new OrderGate(startedAt, Objects.requireNonNull(settlingTime));
   }
 
   /**
@@ -41,7 +41,7 @@
    *
    * @param token the token, 0 if none was given
    */
-  public void relearn(long token) {
+  public void restoreHighestToken(long token) {
     highestToken = Math.max(highestToken, token);
     isTokenRestored = true;
   }
@@ -94,7 +94,7 @@
    */
   public void onUndecided(String orderId, Instant now) {
     undecidedId = orderId;
-    undecidedUntil = now.plus(settleFor);
+    undecidedUntil = now.plus(settlingTime);
   }
 
   public long highestToken() {
--- a/core/src/main/java/dev/ibishub/core/RankGate.java
+++ b/core/src/main/java/dev/ibishub/core/RankGate.java
@@ -9,12 +9,12 @@
  * themselves.
  *
  * <p>The caller reads the engine's state before each command, calls {@link #admit}, forwards the
- * command to the engine if {@link Verdict#order} is set, reads the state again and calls {@link
+ * command to the engine if {@link Verdict#forward} is set, reads the state again and calls {@link
  * #reply}. One command at a time. Not thread-safe.
  *
  * <pre>{@code
  * RankGate.Verdict verdict = gate.admit(command, before);
- * ResultCode code = verdict.order() ? giveToEngine(command) : verdict.code();
+ * ResultCode code = verdict.forward() ? giveToEngine(command) : verdict.code();
  * GroupReply reply = gate.reply(command, code, readEngine());
  * }</pre>
  */
@@ -49,10 +49,10 @@
    * Decision on a command.
    *
    * @param code {@code OK}, or why the command is refused
-   * @param order whether to forward the command to the engine; if not, the engine is already in the
-   *     requested state or the command is refused
+   * @param forward whether to forward the command to the engine; if not, the engine is already in
+   *     the requested state or the command is refused
    */
-  public record Verdict(ResultCode code, boolean order) {
+  public record Verdict(ResultCode code, boolean forward) {
     private static final Verdict FORWARD = new Verdict(ResultCode.OK, true);
     private static final Verdict ALREADY_DONE = new Verdict(ResultCode.OK, false);
 
--- a/core/src/main/java/dev/ibishub/core/RequestTracker.java
+++ b/core/src/main/java/dev/ibishub/core/RequestTracker.java
@@ -100,7 +100,7 @@
    * @param attemptId id of the attempt
    * @param code reason, a code that says "not run"
    */
-  public void neverSent(String attemptId, ResultCode code) {
+  public void recordNotSent(String attemptId, ResultCode code) {
     updateState(attemptId, State.NOT_RUN, code);
   }
 
--- a/core/src/main/java/dev/ibishub/core/SnapshotSchedule.java
+++ b/core/src/main/java/dev/ibishub/core/SnapshotSchedule.java
@@ -31,7 +31,7 @@
    * Tells when a process should append a snapshot.
    *
    * @param restorePointAt when the record was appended from which a process without state could
-   *     restore the configuration, see {@link ConfigurationReader#keptSince}
+   *     restore the configuration, see {@link ConfigurationReader#restorePointAt}
    * @param retention how long the log keeps records
    * @param self id of the process
    * @param live ids of all live processes that may write, as this one sees them
--- a/core/src/main/java/dev/ibishub/core/StreamBuffer.java
+++ b/core/src/main/java/dev/ibishub/core/StreamBuffer.java
@@ -9,8 +9,8 @@
  * The chunks of one attempt's answer, kept for relay and for callers that resume at another entry.
  * Created by {@link StreamBuffers}, which bounds the memory of all buffers in a process.
  *
- * <p>While the answer is running, only chunks that were {@linkplain #release released} are evicted,
- * so a slow reader causes back-pressure and loses nothing.
+ * <p>While the answer is running, only chunks that were {@linkplain #acknowledge acknowledged} are
+ * evicted, so a slow reader causes back-pressure and loses nothing.
  *
  * <p>Thread-safe.
  */
@@ -20,7 +20,7 @@
   private final List<NumberedChunk> chunks = new ArrayList<>();
   private final CRC32C checksum = new CRC32C();
   private long nextNumber;
-  private long releasedCount;
+  private long acknowledgedCount;
   private AnswerEnd end;
 
   StreamBuffer(String attemptId, StreamBuffers owner) {
@@ -108,23 +108,23 @@
    *
    * @param below chunks with lower numbers have reached the entry
    */
-  public synchronized void release(long below) {
-    releasedCount = Math.max(releasedCount, Math.min(below, nextNumber));
+  public synchronized void acknowledge(long below) {
+    acknowledgedCount = Math.max(acknowledgedCount, Math.min(below, nextNumber));
   }
 
   /** Returns whether the answer has ended and all of it has reached the entry. */
-  synchronized boolean isReleased() {
-    return end != null && releasedCount == nextNumber;
+  synchronized boolean isAcknowledged() {
+    return end != null && acknowledgedCount == nextNumber;
   }
 
   /**
-   * Evicts released chunks, oldest first, until the given number of bytes is freed; returns the
+   * Evicts acknowledged chunks, oldest first, until the given number of bytes is freed; returns the
    * number of bytes freed.
    */
   synchronized long evict(long bytesWanted) {
     long freed = 0;
     int count = 0;
-    long evictable = releasedCount - firstKept();
+    long evictable = acknowledgedCount - firstKept();
     while (freed < bytesWanted && count < evictable) {
       freed += chunks.get(count).data().length;
       count++;
--- a/core/src/main/java/dev/ibishub/core/StreamBuffers.java
+++ b/core/src/main/java/dev/ibishub/core/StreamBuffers.java
@@ -98,7 +98,7 @@
   }
 
   private void evictToBounds() {
-    evictFinished(StreamBuffer::isReleased);
+    evictFinished(StreamBuffer::isAcknowledged);
     for (StreamBuffer buffer : running.values()) {
       if (bytes <= maximumBytes) {
         return;
--- a/core/src/main/java/dev/ibishub/core/entries/EntryRoster.java
+++ b/core/src/main/java/dev/ibishub/core/entries/EntryRoster.java
@@ -140,7 +140,7 @@
    * @param heardAt when the relay heard it, on this process's clock, milliseconds
    * @param now the current time, milliseconds
    */
-  public void onTold(EntryFacts facts, long heardAt, long now) {
+  public void onRelayed(EntryFacts facts, long heardAt, long now) {
     if (facts.host().equals(ownHost)) {
       return;
     }
@@ -158,7 +158,7 @@
    * #RELAY_COUNT} of them are heard or may still be. Also evicts entries, so it is to be called
    * regularly.
    */
-  public List<String> wanted(long now) {
+  public List<String> hostsToLink(long now) {
     byHost.values().removeIf(known -> now - known.namedAt > EVICTION_MILLIS);
     List<Known> wanted = new ArrayList<>();
     int expectedRelays = 0;
@@ -193,7 +193,7 @@
   /**
    * Returns this entry's position in order, from 0, among the live entries that are not leaving.
    */
-  public int turn(long now) {
+  public int position(long now) {
     Known own = new Known(ownHost);
     own.facts = Optional.of(new EntryFacts(ownHost, "", ownStartedAt, true, false));
     return (int)
@@ -207,7 +207,7 @@
    * Returns the entries that this one has heard directly within {@link #ALIVE_MILLIS}, each with
    * the time when it was last heard, to report them to others.
    */
-  public Map<EntryFacts, Long> heard(long now) {
+  public Map<EntryFacts, Long> heardDirectly(long now) {
     Map<EntryFacts, Long> heard = new HashMap<>();
     byHost.values().stream()
         .filter(known -> isHeard(known, now))
--- a/core/src/main/java/dev/ibishub/core/entries/LargestSeen.java
+++ b/core/src/main/java/dev/ibishub/core/entries/SlidingMaximum.java
@@ -7,13 +7,13 @@
  * The maximum of the numbers seen within a sliding window of time. Thread-safe by one lock.
  *
  * <pre>{@code
- * LargestSeen entries = new LargestSeen(100_000);
+ * SlidingMaximum entries = new SlidingMaximum(100_000);
  * entries.onSeen(7, 0);
  * entries.onSeen(4, 1_000);
  * entries.largest(); // 7
  * }</pre>
  */
-public final class LargestSeen {
+public final class SlidingMaximum {
   private final long windowMillis;
 
   /** The numbers that may still become the maximum: older ones first, each larger than the next. */
@@ -26,7 +26,7 @@
    *
    * @param windowMillis length of the window, milliseconds
    */
-  public LargestSeen(long windowMillis) {
+  public SlidingMaximum(long windowMillis) {
     this.windowMillis = windowMillis;
   }
 
--- a/core/src/main/java/dev/ibishub/core/internal/experts/Outbox.java
+++ b/core/src/main/java/dev/ibishub/core/internal/experts/Outbox.java
@@ -1,7 +1,7 @@
 package dev.ibishub.core.internal.experts;
 
 import dev.ibishub.core.GroupCommand;
-import dev.ibishub.core.GroupLeader.Addressed;
+import dev.ibishub.core.GroupLeader.AddressedCommand;
 import dev.ibishub.core.GroupReply;
 import java.time.Duration;
 import java.time.Instant;
@@ -86,15 +86,15 @@
   }
 
   /** Returns the commands that are due and schedules their retransmission. */
-  public List<Addressed> dueCommands(Instant now) {
-    List<Addressed> due = new ArrayList<>();
+  public List<AddressedCommand> dueCommands(Instant now) {
+    List<AddressedCommand> due = new ArrayList<>();
     for (int rank = 0; rank < pendingByRank.length; rank++) {
       PendingCommand pending = pendingByRank[rank];
       if (pending != null && !pending.nextSendAt().isAfter(now)) {
         Instant firstSentAt = Objects.requireNonNullElse(pending.firstSentAt(), now);
         pendingByRank[rank] =
             new PendingCommand(pending.command(), firstSentAt, now.plus(retryAfter));
-        due.add(new Addressed(rank, pending.command()));
+        due.add(new AddressedCommand(rank, pending.command()));
       }
     }
     return due;
--- a/core/src/main/java/dev/ibishub/core/internal/requests/ClaimEntry.java
+++ b/core/src/main/java/dev/ibishub/core/internal/requests/ClaimEntry.java
@@ -50,7 +50,7 @@
     }
     return switch (state) {
       case RUNNING -> new ClaimResult.RunningHere(attemptId);
-      case FINISHED -> new ClaimResult.Kept(attemptId);
+      case FINISHED -> new ClaimResult.FinishedHere(attemptId);
       case IDLE -> {
         state = State.RUNNING;
         attemptId = request.attemptId();
--- a/core/src/main/java/dev/ibishub/core/ranks/GroupMap.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/GroupMap.java
@@ -32,7 +32,7 @@
    * @param sets number of layer sets
    * @param experts number of experts in each layer set
    */
-  public static GroupMap inTurn(int ranks, int sets, int experts) {
+  public static GroupMap roundRobin(int ranks, int sets, int experts) {
     int[][] set =
         IntStream.range(0, ranks)
             .mapToObj(rank -> IntStream.iterate(rank, e -> e < experts, e -> e + ranks).toArray())
--- a/core/src/main/java/dev/ibishub/core/ranks/MapEconomy.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/MapCostModel.java
@@ -13,7 +13,7 @@
  * @param fetchSlowdown relative increase of the step duration while a rank fetches
  * @param demandLifetimeMillis how long the demand is expected to persist, milliseconds
  */
-public record MapEconomy(
+public record MapCostModel(
     DoubleUnaryOperator stepMillis,
     double fetchMillis,
     double switchMillis,
@@ -25,7 +25,7 @@
    * whose switch once stalled for seconds would get no further map: every map would seem too late,
    * and without a new one no shorter switch would ever be observed.
    */
-  public MapEconomy {
+  public MapCostModel {
     switchMillis = Math.min(switchMillis, demandLifetimeMillis / 2);
   }
 
--- a/core/src/main/java/dev/ibishub/core/ranks/MapSwitch.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/MapSwitch.java
@@ -68,7 +68,7 @@
   private static final long NOT_HELD = -1;
 
   private final int ranks;
-  private final TokenSource fencingTokens;
+  private final FencingTokenSource fencingTokens;
   private final Map<Integer, RankView> views = new HashMap<>();
   private final boolean[] confirmed;
   private final long[] nextAttemptAt;
@@ -105,7 +105,7 @@
    * @param ranks number of ranks in the group
    * @param fencingTokens source of fencing tokens
    */
-  public MapSwitch(int ranks, TokenSource fencingTokens) {
+  public MapSwitch(int ranks, FencingTokenSource fencingTokens) {
     this.ranks = ranks;
     this.fencingTokens = fencingTokens;
     this.confirmed = new boolean[ranks];
@@ -456,7 +456,7 @@
 
   /** Yields to the other leader that fenced a command, and checks the group again later. */
   private void onFenced(long now) {
-    fencingTokens.outbid();
+    fencingTokens.onHigherTokenSeen();
     yieldUntil = now + YIELD_MILLIS;
     enterPhase(Phase.IDLE, now);
   }
--- a/core/src/main/java/dev/ibishub/core/ranks/PlacementPlanner.java
+++ b/core/src/main/java/dev/ibishub/core/ranks/PlacementPlanner.java
@@ -23,7 +23,7 @@
    *
    * @param map the map
    * @param fetches number of experts to fetch over all ranks
-   * @param fetchesOfARank maximum number of experts that any one rank must fetch
+   * @param mostFetchesByOneRank maximum number of experts that any one rank must fetch
    * @param skewBefore skew of the current map, as a multiple of the ideal time
    * @param skewAfter skew of the planned map, as a multiple of the ideal time
    * @param gainMillis net gain of the map, and of one that may follow it, while the demand
@@ -32,12 +32,12 @@
   public record Plan(
       GroupMap map,
       int fetches,
-      int fetchesOfARank,
+      int mostFetchesByOneRank,
       double skewBefore,
       double skewAfter,
       double gainMillis) {}
 
-  private record Candidate(GroupMap map, int fetches, MapEconomy.MapProfile profile) {}
+  private record Candidate(GroupMap map, int fetches, MapCostModel.MapProfile profile) {}
 
   private record Choice(Candidate candidate, double gainMillis) {}
 
@@ -48,7 +48,7 @@
    * @param demand tokens, by layer set and expert
    * @param slowness relative time for a token, by rank; 1 for a normal rank
    * @param limits limits that the plan must respect
-   * @param economy model of the cost and gain of maps
+   * @param costModel model of the cost and gain of maps
    * @return the plan, or empty when no map gains more than it costs
    */
   public static Optional<Plan> plan(
@@ -56,13 +56,13 @@
       double[][] demand,
       double[] slowness,
       PlacementLimits limits,
-      MapEconomy economy) {
+      MapCostModel costModel) {
     if (Arrays.stream(demand).flatMapToDouble(Arrays::stream).sum() <= 0) {
       return Optional.empty();
     }
     PlacementSearch search = new PlacementSearch(current, demand, slowness, limits);
     double skewNow = search.skew();
-    return choices(candidates(search, skewNow, limits), economy, skewNow)
+    return choices(candidates(search, skewNow, limits), costModel, skewNow)
         .max(Comparator.comparingDouble(Choice::gainMillis))
         .filter(choice -> choice.gainMillis() > 0)
         .map(choice -> planOf(choice, skewNow));
@@ -77,8 +77,8 @@
       search.balance(fetches);
       double skew = search.skew();
       if (skew < previousSkew) {
-        MapEconomy.MapProfile profile =
-            new MapEconomy.MapProfile(search.mostFetchesByOneRank(), skew);
+        MapCostModel.MapProfile profile =
+            new MapCostModel.MapProfile(search.mostFetchesByOneRank(), skew);
         candidates.add(new Candidate(search.map(), search.fetches(), profile));
         previousSkew = skew;
       }
@@ -95,27 +95,28 @@
   }
 
   private static Stream<Choice> choices(
-      List<Candidate> candidates, MapEconomy economy, double skewNow) {
+      List<Candidate> candidates, MapCostModel costModel, double skewNow) {
     return IntStream.range(0, candidates.size())
         .boxed()
         .flatMap(
             first ->
                 Stream.concat(
-                    Stream.of(withoutSuccessor(candidates.get(first), economy, skewNow)),
+                    Stream.of(withoutSuccessor(candidates.get(first), costModel, skewNow)),
                     candidates.stream()
                         .skip(first + 1L)
                         .map(
                             second ->
-                                withSuccessor(candidates.get(first), second, economy, skewNow))));
+                                withSuccessor(candidates.get(first), second, costModel, skewNow))));
   }
 
-  private static Choice withoutSuccessor(Candidate candidate, MapEconomy economy, double skewNow) {
-    return new Choice(candidate, economy.gain(candidate.profile(), skewNow));
+  private static Choice withoutSuccessor(
+      Candidate candidate, MapCostModel costModel, double skewNow) {
+    return new Choice(candidate, costModel.gain(candidate.profile(), skewNow));
   }
 
   private static Choice withSuccessor(
-      Candidate first, Candidate second, MapEconomy economy, double skewNow) {
-    return new Choice(first, economy.gain(first.profile(), second.profile(), skewNow));
+      Candidate first, Candidate second, MapCostModel costModel, double skewNow) {
+    return new Choice(first, costModel.gain(first.profile(), second.profile(), skewNow));
   }
 
   private static Plan planOf(Choice choice, double skewNow) {
--- a/core/src/main/java/dev/ibishub/core/serving/AnswerTimes.java
+++ b/core/src/main/java/dev/ibishub/core/serving/AnswerTimes.java
@@ -10,7 +10,7 @@
  *
  * <p>Without hedging, a target that accepts requests and never answers costs the caller the whole
  * timeout of the route. A hedge that is sent too early doubles the load for nothing; one that is
- * sent too late can't meet the latency goal either.
+ * sent too late can't meet the latency objective either.
  */
 public final class AnswerTimes {
   /** Number of latest answers that are kept. */
@@ -26,27 +26,29 @@
   private long sampleCount;
 
   /** Records a successful answer that took this many milliseconds. */
-  public synchronized void onGood(long millis) {
+  public synchronized void onSuccess(long millis) {
     latestMillis[(int) (sampleCount % WINDOW_SIZE)] = millis;
     sampleCount++;
   }
 
   /**
    * Returns the hedging delay in milliseconds, counted from the send. It is the latest time at
-   * which a median answer of the second target would still meet the goal, but at least the 95th
-   * percentile of the answers. With too few answers it is half of the goal, or empty without a
-   * goal.
+   * which a median answer of the second target would still meet the objective, but at least the
+   * 95th percentile of the answers. With too few answers it is half of the objective, or empty
+   * without an objective.
    *
-   * @param goalMillis the latency goal of the route, milliseconds; 0 for none
+   * @param latencyObjectiveMillis the latency objective of the route, milliseconds; 0 for none
    */
-  public synchronized OptionalLong silenceMillis(long goalMillis) {
+  public synchronized OptionalLong hedgeDelayMillis(long latencyObjectiveMillis) {
     if (sampleCount < MINIMUM_SAMPLES) {
-      return goalMillis > 0 ? OptionalLong.of(goalMillis / 2) : OptionalLong.empty();
+      return latencyObjectiveMillis > 0
+          ? OptionalLong.of(latencyObjectiveMillis / 2)
+          : OptionalLong.empty();
     }
     long[] sorted = Arrays.copyOf(latestMillis, (int) Math.min(sampleCount, WINDOW_SIZE));
     Arrays.sort(sorted);
     long median = sorted[sorted.length / 2];
     long hedgeQuantile = sorted[(int) (sorted.length * HEDGE_QUANTILE)];
-    return OptionalLong.of(Math.max(hedgeQuantile, goalMillis - median));
+    return OptionalLong.of(Math.max(hedgeQuantile, latencyObjectiveMillis - median));
   }
 }
--- a/core/src/main/java/dev/ibishub/core/serving/CrashedRun.java
+++ b/core/src/main/java/dev/ibishub/core/serving/CrashedRun.java
@@ -7,14 +7,16 @@
  * this process's monotonic clock.
  *
  * @param request which request ran
- * @param targetLife unique id of the target incarnation that ran it; a restarted target has another
+ * @param targetIncarnation unique id of the target incarnation that ran it; a restarted target has
+ *     another
  * @param sentAt when the request was sent to the target
  * @param brokenAt when the run broke off
  */
-public record CrashedRun(RequestIdentity request, String targetLife, long sentAt, long brokenAt) {
+public record CrashedRun(
+    RequestIdentity request, String targetIncarnation, long sentAt, long brokenAt) {
   /** Checks that request and target incarnation are given. */
   public CrashedRun {
     Objects.requireNonNull(request);
-    Objects.requireNonNull(targetLife);
+    Objects.requireNonNull(targetIncarnation);
   }
 }
--- a/core/src/main/java/dev/ibishub/core/serving/GroupOpenness.java
+++ b/core/src/main/java/dev/ibishub/core/serving/GroupOpenness.java
@@ -23,7 +23,7 @@
    * @param reportsOpen whether the rank accepts requests
    * @param at when the rank reported it, milliseconds
    */
-  public synchronized void onWord(long reportEpoch, boolean reportsOpen, long at) {
+  public synchronized void onReport(long reportEpoch, boolean reportsOpen, long at) {
     if (reportEpoch < epoch || (reportEpoch == epoch && at < reportedAt)) {
       return;
     }
--- a/core/src/main/java/dev/ibishub/core/serving/LimitDivision.java
+++ b/core/src/main/java/dev/ibishub/core/serving/LimitDivision.java
@@ -15,11 +15,12 @@
    *
    * @param ownHost the entry's host
    * @param hosts hosts of the entries that send requests
-   * @param targetLife the target incarnation that set the limit
+   * @param targetIncarnation the target incarnation that set the limit
    * @param requestsPerSecond the limit
    * @return requests per second, 0 for an entry that must not send
    */
-  double share(String ownHost, Set<String> hosts, String targetLife, double requestsPerSecond);
+  double share(
+      String ownHost, Set<String> hosts, String targetIncarnation, double requestsPerSecond);
 
   /**
    * Returns a rule that divides a limit evenly among a few entries, its holders. There is one
@@ -31,12 +32,12 @@
    * sets of hosts, their choices differ only by the hosts that one of them does not know.
    */
   static LimitDivision amongFewHolders() {
-    return (ownHost, hosts, targetLife, requestsPerSecond) -> {
+    return (ownHost, hosts, targetIncarnation, requestsPerSecond) -> {
       int holderCount = (int) Math.max(1, Math.min(hosts.size(), Math.floor(requestsPerSecond)));
       List<String> holders =
           hosts.stream()
               .sorted(
-                  Comparator.comparingLong((String host) -> rendezvousHash(host, targetLife))
+                  Comparator.comparingLong((String host) -> rendezvousHash(host, targetIncarnation))
                       .thenComparing(Comparator.naturalOrder()))
               .limit(holderCount)
               .toList();
@@ -44,8 +45,8 @@
     };
   }
 
-  private static long rendezvousHash(String host, String targetLife) {
-    long hash = 0x9E3779B97F4A7C15L * (31L * host.hashCode() + targetLife.hashCode());
+  private static long rendezvousHash(String host, String targetIncarnation) {
+    long hash = 0x9E3779B97F4A7C15L * (31L * host.hashCode() + targetIncarnation.hashCode());
     hash = (hash ^ (hash >>> 32)) * 0xD6E8FEB86659FD93L;
     return hash ^ (hash >>> 32);
   }
--- a/core/src/main/java/dev/ibishub/core/serving/CrashBlame.java
+++ b/core/src/main/java/dev/ibishub/core/serving/RequestQuarantine.java
@@ -18,12 +18,12 @@
  * therefore quarantine a request. A request that completes is no longer suspected.
  *
  * <pre>{@code
- * blame.onBroken(run);                     // its connection broke
- * blame.onCrashed(run.targetLife());       // the target turns out to have crashed
- * blame.isQuarantined(run.request(), now); // after a second crash: true
+ * quarantine.onBroken(run);                      // its connection broke
+ * quarantine.onCrashed(run.targetIncarnation()); // the target turns out to have crashed
+ * quarantine.isQuarantined(run.request(), now);  // after a second crash: true
  * }</pre>
  */
-public final class CrashBlame {
+public final class RequestQuarantine {
   /** Successive crashes after which a request is quarantined. */
   public static final int QUARANTINE_CRASH_COUNT = 2;
 
@@ -60,7 +60,7 @@
   /** Broken runs whose targets are not known to have crashed, in order of arrival. */
   private final Deque<CrashedRun> unconfirmed = new ArrayDeque<>();
 
-  private final Map<String, Boolean> crashedLives = new BoundedMap<>();
+  private final Map<String, Boolean> crashedIncarnations = new BoundedMap<>();
   private final Map<RequestIdentity, List<CrashedRun>> suspects = new BoundedMap<>();
 
   /** A map that evicts its oldest entry once it exceeds {@link #MAXIMUM_KEPT}. */
@@ -80,7 +80,7 @@
    *     run was not known; otherwise empty
    */
   public synchronized List<CrashedRun> onBroken(CrashedRun run) {
-    if (crashedLives.containsKey(run.targetLife())) {
+    if (crashedIncarnations.containsKey(run.targetIncarnation())) {
       return add(run) ? List.of(run) : List.of();
     }
     unconfirmed.removeIf(other -> run.brokenAt() - other.brokenAt() > UNCONFIRMED_MILLIS);
@@ -94,13 +94,15 @@
   /**
    * Records that a target crashed.
    *
-   * @param targetLife the target incarnation that ended
+   * @param targetIncarnation the target incarnation that ended
    * @return the broken runs of that incarnation, to report to the other entries
    */
-  public synchronized List<CrashedRun> onCrashed(String targetLife) {
-    crashedLives.put(targetLife, true);
+  public synchronized List<CrashedRun> onCrashed(String targetIncarnation) {
+    crashedIncarnations.put(targetIncarnation, true);
     List<CrashedRun> ranThere =
-        unconfirmed.stream().filter(run -> run.targetLife().equals(targetLife)).toList();
+        unconfirmed.stream()
+            .filter(run -> run.targetIncarnation().equals(targetIncarnation))
+            .toList();
     unconfirmed.removeAll(ranThere);
     return ranThere.stream().filter(this::add).toList();
   }
@@ -110,7 +112,7 @@
    *
    * @return whether it was not known yet
    */
-  public synchronized boolean onTold(CrashedRun run) {
+  public synchronized boolean onReport(CrashedRun run) {
     return add(run);
   }
 
@@ -153,7 +155,8 @@
 
   private boolean add(CrashedRun run) {
     List<CrashedRun> known = suspects.computeIfAbsent(run.request(), any -> new ArrayList<>());
-    if (known.stream().anyMatch(other -> other.targetLife().equals(run.targetLife()))) {
+    if (known.stream()
+        .anyMatch(other -> other.targetIncarnation().equals(run.targetIncarnation()))) {
       return false;
     }
     if (successiveCrashes(known) < QUARANTINE_CRASH_COUNT) {
--- a/core/src/main/java/dev/ibishub/core/serving/ReturnAdvice.java
+++ b/core/src/main/java/dev/ibishub/core/serving/RetryAdvice.java
@@ -8,7 +8,7 @@
  * <p>Callers retry only once or twice, so advice that is too short wastes their attempts. The
  * advice has jitter, so that callers refused at the same moment do not all return together.
  */
-public final class ReturnAdvice {
+public final class RetryAdvice {
   /** Minimum advice if it is not known when a slot comes free, milliseconds. */
   private static final long FULL_MILLIS = 250;
 
@@ -44,7 +44,7 @@
   /** Time left that is assumed of a caller that does not state it, milliseconds. */
   private static final long DEFAULT_LEFT_MILLIS = 1_500;
 
-  private ReturnAdvice() {}
+  private RetryAdvice() {}
 
   /**
    * Returns the advice if all targets are full or a target failed to accept the request.
@@ -59,12 +59,12 @@
   /**
    * Returns the advice if all model engines are full.
    *
-   * @param slotFreesMillis expected time until a slot of a full engine comes free, milliseconds
+   * @param slotWaitMillis expected time until a slot of a full engine comes free, milliseconds
    * @param jitter a random number from 0 to below 1, uniformly distributed
    * @return milliseconds
    */
-  public static long whenFull(double slotFreesMillis, double jitter) {
-    return (long) (slotFreesMillis * (SLOT_TURNS + SLOT_TURNS_JITTER * jitter));
+  public static long whenFull(double slotWaitMillis, double jitter) {
+    return (long) (slotWaitMillis * (SLOT_TURNS + SLOT_TURNS_JITTER * jitter));
   }
 
   /**
@@ -101,7 +101,7 @@
    * @param jitter a random number from 0 to below 1, uniformly distributed
    * @return milliseconds
    */
-  public static long whileResting(long backOffMillis, long leftMillis, double jitter) {
+  public static long whileBackingOff(long backOffMillis, long leftMillis, double jitter) {
     return Math.min(
         backOffMillis + (long) (jitter * FULL_JITTER_MILLIS), whileClosed(leftMillis, jitter));
   }
--- a/core/src/main/java/dev/ibishub/core/serving/RetryRule.java
+++ b/core/src/main/java/dev/ibishub/core/serving/RetryRule.java
@@ -56,7 +56,7 @@
    * @param sends all attempts so far
    * @param leftMillis time until the request's deadline, milliseconds
    */
-  public long pauseMillis(AttemptOutcome outcome, int sends, long leftMillis) {
+  public long retryDelayMillis(AttemptOutcome outcome, int sends, long leftMillis) {
     boolean isDelayed =
         outcome == AttemptOutcome.REFUSED && sends > 1 && leftMillis >= MINIMUM_REMAINING_MILLIS;
     return isDelayed ? REFUSED_RETRY_DELAY_MILLIS * (sends - 1) : 0;
--- a/core/src/main/java/dev/ibishub/core/serving/SharedLimits.java
+++ b/core/src/main/java/dev/ibishub/core/serving/SharedLimits.java
@@ -17,9 +17,9 @@
  *
  * <pre>{@code
  * SharedLimits limits = new SharedLimits(ownHost, LimitDivision.amongFewHolders());
- * limits.onWord(new LimitWord(life, OptionalDouble.of(2), now), now);
- * if (limits.allows(life, now)) {
- *   limits.onSent(life, now);
+ * limits.onPeerStatement(new LimitStatement(incarnation, OptionalDouble.of(2), now), now);
+ * if (limits.allows(incarnation, now)) {
+ *   limits.onSent(incarnation, now);
  * }
  * }</pre>
  */
@@ -38,20 +38,20 @@
 
   private final String ownHost;
   private final LimitDivision division;
-  private final Map<String, Known> byLife = new HashMap<>();
+  private final Map<String, Known> byIncarnation = new HashMap<>();
   private Set<String> hosts;
 
   /** What is known of one target incarnation. */
   private static final class Known {
     private final TokenBucket bucket = new TokenBucket();
-    private LimitWord latest;
+    private LimitStatement latest;
 
     /** Time of the latest statement that the other entries know. */
     private long broadcastAt;
 
-    Known(LimitWord latest) {
+    Known(LimitStatement latest) {
       this.latest = latest;
-      this.broadcastAt = latest.saidAt();
+      this.broadcastAt = latest.statedAt();
     }
   }
 
@@ -70,20 +70,21 @@
   /**
    * Records a target's statement in an answer to this entry.
    *
-   * @param targetLife the target incarnation that answered
+   * @param targetIncarnation the target incarnation that answered
    * @param limit requests per second; empty if the answer states no limit
    * @param sentAt when the request was sent, milliseconds. An answer without a limit ends the
    *     current limit only if the request was sent after that limit was last stated.
    * @param now the current time, milliseconds
    * @return the statement to broadcast to the other entries at once, if it is a change
    */
-  public synchronized Optional<LimitWord> onAnswer(
-      String targetLife, OptionalDouble limit, long sentAt, long now) {
-    if (limit.isEmpty() && !byLife.containsKey(targetLife)) {
+  public synchronized Optional<LimitStatement> onAnswer(
+      String targetIncarnation, OptionalDouble limit, long sentAt, long now) {
+    if (limit.isEmpty() && !byIncarnation.containsKey(targetIncarnation)) {
       return Optional.empty();
     }
-    boolean isChange = !limitOf(targetLife).equals(limit);
-    LimitWord statement = new LimitWord(targetLife, limit, limit.isPresent() ? now : sentAt);
+    boolean isChange = !limitOf(targetIncarnation).equals(limit);
+    LimitStatement statement =
+        new LimitStatement(targetIncarnation, limit, limit.isPresent() ? now : sentAt);
     if (!isNewer(statement)) {
       return Optional.empty();
     }
@@ -91,7 +92,7 @@
     if (!isChange) {
       return Optional.empty();
     }
-    known.broadcastAt = statement.saidAt();
+    known.broadcastAt = statement.statedAt();
     return Optional.of(statement);
   }
 
@@ -100,73 +101,74 @@
    *
    * @return whether it is newer than the one known so far
    */
-  public synchronized boolean onWord(LimitWord statement, long now) {
+  public synchronized boolean onPeerStatement(LimitStatement statement, long now) {
     if (!isNewer(statement)) {
       return false;
     }
-    apply(statement, now).broadcastAt = statement.saidAt();
+    apply(statement, now).broadcastAt = statement.statedAt();
     return true;
   }
 
   /** Updates which entries send requests, and evicts expired limits. To be called regularly. */
   public synchronized void tick(Set<String> entryHosts, long now) {
-    byLife.values().removeIf(known -> now - known.latest.saidAt() > EXPIRY_MILLIS);
+    byIncarnation.values().removeIf(known -> now - known.latest.statedAt() > EXPIRY_MILLIS);
     if (!entryHosts.equals(hosts)) {
       hosts = Set.copyOf(entryHosts);
-      byLife.values().forEach(known -> updateRate(known, now));
+      byIncarnation.values().forEach(known -> updateRate(known, now));
     }
   }
 
   /** Whether this entry may send a request to a target now. */
-  public synchronized boolean allows(String targetLife, long now) {
-    Known known = byLife.get(targetLife);
+  public synchronized boolean allows(String targetIncarnation, long now) {
+    Known known = byIncarnation.get(targetIncarnation);
     return known == null
         || known.latest.requestsPerSecond().isEmpty()
         || known.bucket.hasToken(now);
   }
 
   /** Whether a target has a limit at present. */
-  public synchronized boolean isLimited(String targetLife) {
-    return limitOf(targetLife).isPresent();
+  public synchronized boolean isLimited(String targetIncarnation) {
+    return limitOf(targetIncarnation).isPresent();
   }
 
   /** Counts a request that this entry sends to a target. */
-  public synchronized void onSent(String targetLife, long now) {
-    Known known = byLife.get(targetLife);
+  public synchronized void onSent(String targetIncarnation, long now) {
+    Known known = byIncarnation.get(targetIncarnation);
     if (known != null) {
       known.bucket.take(now);
     }
   }
 
   /** Returns the statements that are due to be broadcast again, and marks them as broadcast. */
-  public synchronized List<LimitWord> takeDue() {
+  public synchronized List<LimitStatement> takeDueBroadcasts() {
     List<Known> due =
-        byLife.values().stream()
-            .filter(known -> known.latest.saidAt() - known.broadcastAt >= REBROADCAST_MILLIS)
+        byIncarnation.values().stream()
+            .filter(known -> known.latest.statedAt() - known.broadcastAt >= REBROADCAST_MILLIS)
             .toList();
-    due.forEach(known -> known.broadcastAt = known.latest.saidAt());
+    due.forEach(known -> known.broadcastAt = known.latest.statedAt());
     return due.stream().map(known -> known.latest).toList();
   }
 
   /** Returns the latest statement of each target, to send to an entry that has just started. */
-  public synchronized List<LimitWord> all() {
-    return byLife.values().stream().map(known -> known.latest).toList();
+  public synchronized List<LimitStatement> all() {
+    return byIncarnation.values().stream().map(known -> known.latest).toList();
   }
 
-  private boolean isNewer(LimitWord statement) {
-    Known known = byLife.get(statement.targetLife());
-    return known == null || statement.saidAt() > known.latest.saidAt();
+  private boolean isNewer(LimitStatement statement) {
+    Known known = byIncarnation.get(statement.targetIncarnation());
+    return known == null || statement.statedAt() > known.latest.statedAt();
   }
 
-  private Known apply(LimitWord statement, long now) {
-    Known known = byLife.computeIfAbsent(statement.targetLife(), any -> new Known(statement));
+  private Known apply(LimitStatement statement, long now) {
+    Known known =
+        byIncarnation.computeIfAbsent(statement.targetIncarnation(), any -> new Known(statement));
     known.latest = statement;
     updateRate(known, now);
     return known;
   }
 
-  private OptionalDouble limitOf(String targetLife) {
-    Known known = byLife.get(targetLife);
+  private OptionalDouble limitOf(String targetIncarnation) {
+    Known known = byIncarnation.get(targetIncarnation);
     return known == null ? OptionalDouble.empty() : known.latest.requestsPerSecond();
   }
 
@@ -178,7 +180,7 @@
             : division.share(
                 ownHost,
                 hosts,
-                known.latest.targetLife(),
+                known.latest.targetIncarnation(),
                 Math.max(MINIMUM_REQUESTS_PER_SECOND, limit.getAsDouble()));
     known.bucket.setRate(share, now);
   }
--- a/core/src/main/java/dev/ibishub/core/serving/SilenceRule.java
+++ b/core/src/main/java/dev/ibishub/core/serving/SilenceRule.java
@@ -35,15 +35,15 @@
    * @param isBegun whether any piece has come from this target
    * @param mayWait whether the target has more requests than it runs at once, so that one without a
    *     piece may still be queued
-   * @param movingSince since when the service's streams have progressed without a stall,
+   * @param progressingSince since when the service's streams have progressed without a stall,
    *     milliseconds; empty while all of them stall
    */
   public static boolean isLost(
-      long now, long heardAt, boolean isBegun, boolean mayWait, OptionalLong movingSince) {
-    if (movingSince.isEmpty() || (mayWait && !isBegun)) {
+      long now, long heardAt, boolean isBegun, boolean mayWait, OptionalLong progressingSince) {
+    if (progressingSince.isEmpty() || (mayWait && !isBegun)) {
       return false;
     }
-    return now >= lostFrom(Math.max(heardAt, movingSince.getAsLong()), isBegun);
+    return now >= lostFrom(Math.max(heardAt, progressingSince.getAsLong()), isBegun);
   }
 
   /**
--- a/core/src/main/java/dev/ibishub/core/serving/StreamProgress.java
+++ b/core/src/main/java/dev/ibishub/core/serving/StreamProgress.java
@@ -19,18 +19,20 @@
   static final long STALL_MILLIS = 350;
 
   private long lastPieceAt = Long.MIN_VALUE / 2;
-  private long movingSince;
+  private long progressingSince;
 
   /** Records a piece of any stream. */
   public synchronized void onPiece(long now) {
     if (now - lastPieceAt > STALL_MILLIS) {
-      movingSince = now;
+      progressingSince = now;
     }
     lastPieceAt = now;
   }
 
   /** Returns since when pieces have come without a stall; empty while all streams stall. */
-  public synchronized OptionalLong movingSince(long now) {
-    return now - lastPieceAt > STALL_MILLIS ? OptionalLong.empty() : OptionalLong.of(movingSince);
+  public synchronized OptionalLong progressingSince(long now) {
+    return now - lastPieceAt > STALL_MILLIS
+        ? OptionalLong.empty()
+        : OptionalLong.of(progressingSince);
   }
 }
--- a/core/src/main/java/dev/ibishub/core/serving/TargetChoice.java
+++ b/core/src/main/java/dev/ibishub/core/serving/TargetChoice.java
@@ -69,8 +69,8 @@
    * @param loads the loads of all targets of the service
    * @param now the current time, milliseconds
    */
-  public static OptionalLong untilRested(Collection<TargetLoad> loads, long now) {
-    return loads.stream().allMatch(load -> load.isResting(now))
+  public static OptionalLong millisUntilBackOffEnds(Collection<TargetLoad> loads, long now) {
+    return loads.stream().allMatch(load -> load.isBackingOff(now))
         ? loads.stream().mapToLong(load -> load.backOffUntil() - now).min()
         : OptionalLong.empty();
   }
@@ -90,7 +90,7 @@
         candidates.stream()
             .filter(candidate -> !tried.contains(candidate.id()))
             .filter(candidate -> !candidate.load().isClosed(now))
-            .filter(candidate -> !candidate.load().isResting(now))
+            .filter(candidate -> !candidate.load().isBackingOff(now))
             .toList();
     List<Candidate> reachable =
         untried.stream().filter(candidate -> !candidate.load().isSuspended(now)).toList();
@@ -110,7 +110,7 @@
 
   private double cost(Candidate candidate, long now) {
     return candidate.load().requests(now, entries)
-        + candidate.load().handicap(now)
+        + candidate.load().penalty(now)
         + (candidate.sameZone() ? 0 : OTHER_ZONE_COST);
   }
 }
--- a/core/src/main/java/dev/ibishub/core/serving/TargetLoad.java
+++ b/core/src/main/java/dev/ibishub/core/serving/TargetLoad.java
@@ -31,13 +31,13 @@
   /** Penalty of a target whose answers all fail, in requests. */
   private static final double FAILURE_COST = 8;
 
-  /** Pace up to which a target is not penalized as slow. */
-  private static final double USUAL_PACE = 1.1;
+  /** Slowdown up to which a target is not penalized as slow. */
+  private static final double USUAL_SLOWDOWN = 1.1;
 
   /**
-   * Penalty for each unit of pace above {@link #USUAL_PACE}, in requests. The ranks of a group step
-   * together and wait for the slowest one, so a request on that rank lengthens every pause, while a
-   * request on another rank lengthens none.
+   * Penalty for each unit of slowdown above {@link #USUAL_SLOWDOWN}, in requests. The ranks of a
+   * group step together and wait for the slowest one, so a request on that rank lengthens every
+   * pause, while a request on another rank lengthens none.
    */
   private static final double SLOWNESS_COST = 6;
 
@@ -127,12 +127,12 @@
    *
    * @param until the end of the back-off, milliseconds
    */
-  public synchronized void onRestAsked(long until) {
+  public synchronized void onBackOffRequested(long until) {
     backOffUntil = Math.max(backOffUntil, until);
   }
 
   /** Whether this entry must still back off from the target, as the target asked. */
-  public synchronized boolean isResting(long now) {
+  public synchronized boolean isBackingOff(long now) {
     return now < backOffUntil;
   }
 
@@ -211,8 +211,8 @@
   }
 
   /** Returns the penalty for failures and slowness when targets are compared, in requests. */
-  public synchronized double handicap(long now) {
-    double slowness = Math.max(0, report.pace() - USUAL_PACE) * SLOWNESS_COST;
+  public synchronized double penalty(long now) {
+    double slowness = Math.max(0, report.slowdown() - USUAL_SLOWDOWN) * SLOWNESS_COST;
     double penalty = failureShare(now) * FAILURE_COST + slowness;
     return penalty < NEGLIGIBLE_PENALTY ? 0 : penalty;
   }
--- a/core/src/main/java/dev/ibishub/core/serving/TargetReport.java
+++ b/core/src/main/java/dev/ibishub/core/serving/TargetReport.java
@@ -7,25 +7,29 @@
  * {@link dev.ibishub.core.TargetStatus}.
  *
  * @param requests requests that wait or run at the target
- * @param pace how many times as long as usual it takes for its work; 1 for as usual, above 1 for
- *     slower
+ * @param slowdown how many times as long as usual it takes for its work; 1 for as usual, above 1
+ *     for slower
  * @param isOpen whether it accepts requests; a target whose group of ranks is broken does not
  * @param measuredAt when the report was made, on this process's monotonic clock, milliseconds
  * @param group the group of ranks that it belongs to, if any
  */
 public record TargetReport(
-    int requests, double pace, boolean isOpen, long measuredAt, Optional<GroupWord> group) {
+    int requests,
+    double slowdown,
+    boolean isOpen,
+    long measuredAt,
+    Optional<GroupMembership> group) {
   /**
    * The group that a target reports to belong to.
    *
    * @param name the group's name
    * @param epoch the group's epoch, which grows each time the group forms again
    */
-  public record GroupWord(String name, long epoch) {}
+  public record GroupMembership(String name, long epoch) {}
 
   /** Creates the report of a target that belongs to no group. */
-  public TargetReport(int requests, double pace, boolean isOpen, long measuredAt) {
-    this(requests, pace, isOpen, measuredAt, Optional.empty());
+  public TargetReport(int requests, double slowdown, boolean isOpen, long measuredAt) {
+    this(requests, slowdown, isOpen, measuredAt, Optional.empty());
   }
 
   /** Creates the report of a target that accepts requests and works at its usual speed. */
--- a/core/src/test/java/dev/ibishub/core/AddressBookTest.java
+++ b/core/src/test/java/dev/ibishub/core/AddressBookTest.java
@@ -21,8 +21,8 @@
    */
   @Test
   void omitsEntryWhoseUrlIsNotKnownYet() {
-    membership.listed(List.of(entry("entry-2", "", 0)), NOW);
-    membership.heard("entry-2", INCARNATION, NOW);
+    membership.applyList(List.of(entry("entry-2", "", 0)), NOW);
+    membership.recordContact("entry-2", INCARNATION, NOW);
 
     assertThat(book.addresses(NOW))
         .extracting(EntryAddress::url)
@@ -36,8 +36,8 @@
    */
   @Test
   void includesEntryWhoseUrlArrivesWithDigestAfterLink() {
-    membership.listed(List.of(entry("entry-2", "", 0)), NOW);
-    membership.heard("entry-2", INCARNATION, NOW);
+    membership.applyList(List.of(entry("entry-2", "", 0)), NOW);
+    membership.recordContact("entry-2", INCARNATION, NOW);
     membership.merge(List.of(entry("entry-2", "http://127.0.0.1:2", INCARNATION)), NOW);
 
     assertThat(book.addresses(NOW)).extracting(EntryAddress::url).contains("http://127.0.0.1:2");
--- a/core/src/test/java/dev/ibishub/core/ClaimLedgerTest.java
+++ b/core/src/test/java/dev/ibishub/core/ClaimLedgerTest.java
@@ -46,7 +46,7 @@
     assertThat(ledger.tryClaim(request(KEY, "a"), NOW)).contains(new ClaimResult.Won());
     assertThat(ledger.tryClaim(request(KEY, "b"), NOW)).contains(new ClaimResult.RunningHere("a"));
     ledger.finished(CLAIM_KEY, "a");
-    assertThat(ledger.tryClaim(request(KEY, "c"), NOW)).contains(new ClaimResult.Kept("a"));
+    assertThat(ledger.tryClaim(request(KEY, "c"), NOW)).contains(new ClaimResult.FinishedHere("a"));
   }
 
   @Test
--- a/core/src/test/java/dev/ibishub/core/ConfigurationHistoryTest.java
+++ b/core/src/test/java/dev/ibishub/core/ConfigurationHistoryTest.java
@@ -134,7 +134,7 @@
     }
 
     private static void transferState(ConfigurationReader from, ConfigurationReader to) {
-      to.accept(from.snapshot("copy"));
+      to.adoptPeerState(from.snapshot("copy"));
     }
 
     private void restartSometimes(int readerIndex) {
--- a/core/src/test/java/dev/ibishub/core/ConfigurationReaderTest.java
+++ b/core/src/test/java/dev/ibishub/core/ConfigurationReaderTest.java
@@ -116,7 +116,7 @@
     slow.apply(2, NOW, Optional.of(late));
 
     assertThat(slow.state().revision()).isEqualTo(1);
-    slow.accept(reader.snapshot("transfer"));
+    slow.adoptPeerState(reader.snapshot("transfer"));
     slow.rejoin(2);
     assertThat(slow.digest()).isEqualTo(reader.digest());
     assertThat(slow.isAnchored()).isTrue();
@@ -132,8 +132,8 @@
     ConfigurationReader fresh = reader();
     assertThat(fresh.isKnown()).isFalse();
 
-    fresh.accept(newer);
-    fresh.accept(older);
+    fresh.adoptPeerState(newer);
+    fresh.adoptPeerState(older);
 
     assertThat(fresh.isKnown()).isTrue();
     assertThat(fresh.state().revision()).isEqualTo(2);
@@ -148,7 +148,7 @@
             1, "{\"a\":9}", state.overlays(), "one", "x", state.at(), state.hash());
     ConfigurationReader fresh = reader();
 
-    fresh.accept(new ConfigurationSnapshot("damaged", 1, damaged, List.of()));
+    fresh.adoptPeerState(new ConfigurationSnapshot("damaged", 1, damaged, List.of()));
 
     assertThat(fresh.isKnown()).isFalse();
   }
--- a/core/src/test/java/dev/ibishub/core/ExpertPlannerTest.java
+++ b/core/src/test/java/dev/ibishub/core/ExpertPlannerTest.java
@@ -14,12 +14,12 @@
 
   private final ExpertPlanner planner =
       ExpertPlanner.create(ExpertPlannerOptions.preferringEvenSteps());
-  private final ExpertMap map = ExpertMap.inTurn(2, RANKS, 3, EXPERTS);
+  private final ExpertMap map = ExpertMap.roundRobin(2, RANKS, 3, EXPERTS);
   private final double[] slowness = {1, 1, 1, 1};
 
   @Test
   void plansNothingForEvenLoad() {
-    ExpertMap even = ExpertMap.inTurn(2, RANKS, 2, EXPERTS);
+    ExpertMap even = ExpertMap.roundRobin(2, RANKS, 2, EXPERTS);
 
     assertThat(planner.plan(even, popularity(1), slowness, Instant.MIN, NOW)).isEmpty();
   }
--- a/core/src/test/java/dev/ibishub/core/FakeGroup.java
+++ b/core/src/test/java/dev/ibishub/core/FakeGroup.java
@@ -1,6 +1,6 @@
 package dev.ibishub.core;
 
-import dev.ibishub.core.GroupLeader.Addressed;
+import dev.ibishub.core.GroupLeader.AddressedCommand;
 import java.time.Duration;
 import java.time.Instant;
 import java.util.ArrayList;
@@ -35,7 +35,7 @@
   }
 
   /** Delivers one command and its reply at once. */
-  void deliver(GroupLeader leader, Addressed addressed) {
+  void deliver(GroupLeader leader, AddressedCommand addressed) {
     leader.onReply(ranks.get(addressed.rank()).handle(addressed.command()), now);
   }
 
@@ -130,7 +130,7 @@
 
     GroupReply handle(GroupCommand command) {
       RankGate.Verdict verdict = gate.admit(command, status());
-      if (verdict.order()) {
+      if (verdict.forward()) {
         execute(command);
       }
       return gate.reply(command, verdict.code(), status());
--- a/core/src/test/java/dev/ibishub/core/GroupHistoryTest.java
+++ b/core/src/test/java/dev/ibishub/core/GroupHistoryTest.java
@@ -109,12 +109,12 @@
     }
 
     private void poll(GroupLeader leader) {
-      for (GroupLeader.Addressed addressed : leader.poll(group.now)) {
+      for (GroupLeader.AddressedCommand addressed : leader.poll(group.now)) {
         network.add(() -> deliverCommand(leader, addressed));
       }
     }
 
-    private void deliverCommand(GroupLeader leader, GroupLeader.Addressed addressed) {
+    private void deliverCommand(GroupLeader leader, GroupLeader.AddressedCommand addressed) {
       GroupReply reply = group.ranks.get(addressed.rank()).handle(addressed.command());
       network.add(() -> leader.onReply(reply, group.now));
     }
--- a/core/src/test/java/dev/ibishub/core/GroupSwitchTest.java
+++ b/core/src/test/java/dev/ibishub/core/GroupSwitchTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.ibishub.core.GroupLeader.Addressed;
+import dev.ibishub.core.GroupLeader.AddressedCommand;
 import dev.ibishub.core.GroupLeader.Phase;
 import java.time.Duration;
 import java.util.List;
@@ -56,7 +56,7 @@
   @Test
   void successorCompletesCommitAppliedByOneRank() {
     GroupLeader first = holdingLeader();
-    Addressed commit = first.poll(group.now).get(0);
+    AddressedCommand commit = first.poll(group.now).get(0);
     assertThat(commit.command().kind()).isEqualTo(GroupCommand.Kind.COMMIT);
     group.deliver(first, commit);
     group.runSteps(30);
@@ -74,7 +74,7 @@
   @Test
   void commitSurvivesRestartOfOnlyAgentThatKnewIt() {
     GroupLeader first = holdingLeader();
-    Addressed commit = first.poll(group.now).get(0);
+    AddressedCommand commit = first.poll(group.now).get(0);
     group.deliver(first, commit);
     group.runSteps(30);
     group.ranks.get(commit.rank()).restartAgent();
@@ -91,7 +91,7 @@
   @Test
   void commitSurvivesRestartOfOnlyEngineThatAppliedIt() {
     GroupLeader first = holdingLeader();
-    Addressed commit = first.poll(group.now).get(0);
+    AddressedCommand commit = first.poll(group.now).get(0);
     group.deliver(first, commit);
     group.runSteps(30);
     group.ranks.get(commit.rank()).restartEngine();
@@ -107,7 +107,7 @@
   @Test
   void refusesCommitOfPausedLeaderAfterSuccessorReleased() {
     GroupLeader first = holdingLeader();
-    List<Addressed> lateCommits = first.poll(group.now);
+    List<AddressedCommand> lateCommits = first.poll(group.now);
     readyLeader(2);
 
     lateCommits.forEach(addressed -> group.deliver(first, addressed));
@@ -122,7 +122,7 @@
   @Test
   void rankWithoutStateRefusesCommandsOfOldIncarnation() {
     GroupLeader first = holdingLeader();
-    List<Addressed> lateCommits = first.poll(group.now);
+    List<AddressedCommand> lateCommits = first.poll(group.now);
     group.ranks.get(0).restartAgent();
 
     assertThat(group.ranks.get(0).handle(lateCommits.get(0).command()).code())
@@ -158,9 +158,9 @@
     GroupLeader leader = readyLeader(1);
     leader.offer(NEW_MAP);
     group.runUntil(leader, Phase.HOLDING);
-    List<Addressed> holds = leader.poll(group.now);
+    List<AddressedCommand> holds = leader.poll(group.now);
     holds.stream().skip(1).forEach(addressed -> group.deliver(leader, addressed));
-    group.now = group.now.plus(GroupLeaderOptions.defaults().holdFor()).plusMillis(1);
+    group.now = group.now.plus(GroupLeaderOptions.defaults().holdTimeout()).plusMillis(1);
 
     assertThat(group.runUntil(leader, Phase.READY)).isTrue();
     group.ranks.get(holds.get(0).rank()).handle(holds.get(0).command());
@@ -175,7 +175,7 @@
   @Test
   void restartedEngineUsesOldMapUntilPendingCommit() {
     GroupLeader first = holdingLeader();
-    List<Addressed> commits = first.poll(group.now);
+    List<AddressedCommand> commits = first.poll(group.now);
     group.deliver(first, commits.get(0));
     group.ranks.get(2).restartEngine();
 
@@ -215,7 +215,7 @@
   private void deliverOnly(GroupLeader leader, int commands) {
     int remaining = commands;
     while (remaining > 0) {
-      for (Addressed addressed : leader.poll(group.now)) {
+      for (AddressedCommand addressed : leader.poll(group.now)) {
         if (remaining > 0) {
           group.deliver(leader, addressed);
           remaining--;
--- a/core/src/test/java/dev/ibishub/core/MembershipTest.java
+++ b/core/src/test/java/dev/ibishub/core/MembershipTest.java
@@ -22,8 +22,8 @@
   void deadEntryStaysDeadWhenListStillContainsIt() {
     addKnownEntry("entry-1", 1);
     missTwoProbes("entry-1", NOW);
-    membership.missed("entry-1", NOW.plusSeconds(3));
-    membership.listed(List.of(listed("entry-1", MemberState.ALIVE)), NOW.plusSeconds(4));
+    membership.recordFailedProbe("entry-1", NOW.plusSeconds(3));
+    membership.applyList(List.of(listed("entry-1", MemberState.ALIVE)), NOW.plusSeconds(4));
 
     assertThat(membership.liveEntries()).isEmpty();
     assertThat(membership.member("entry-1").orElseThrow().state()).isEqualTo(MemberState.DEAD);
@@ -33,8 +33,8 @@
   @Test
   void entryThatIsHeardStaysLiveWhenListOmitsIt() {
     addKnownEntry("entry-1", 1);
-    membership.listed(List.of(), NOW.plusSeconds(1));
-    membership.heard("entry-1", 1, NOW.plusSeconds(100));
+    membership.applyList(List.of(), NOW.plusSeconds(1));
+    membership.recordContact("entry-1", 1, NOW.plusSeconds(100));
 
     assertThat(membership.liveEntries()).extracting(MemberRecord::id).containsExactly("entry-1");
   }
@@ -64,7 +64,7 @@
   @Test
   void suspicionByPeerIsIgnoredForEntryThatIsHeard() {
     addKnownEntry("entry-1", 1);
-    membership.heard("entry-1", 1, NOW);
+    membership.recordContact("entry-1", 1, NOW);
     membership.merge(List.of(record("entry-1", 1).withState(MemberState.SUSPECT)), NOW);
 
     assertThat(membership.liveEntries()).hasSize(1);
@@ -84,9 +84,9 @@
   @Test
   void oneMissedProbeDoesNotMakeEntrySuspect() {
     addKnownEntry("entry-1", 1);
-    membership.missed("entry-1", NOW);
-    membership.heard("entry-1", 1, NOW);
-    membership.missed("entry-1", NOW);
+    membership.recordFailedProbe("entry-1", NOW);
+    membership.recordContact("entry-1", 1, NOW);
+    membership.recordFailedProbe("entry-1", NOW);
 
     assertThat(membership.liveEntries()).hasSize(1);
   }
@@ -96,9 +96,9 @@
   void newIncarnationIsAliveWhenEarlierOneWasDead() {
     addKnownEntry("entry-1", 1);
     missTwoProbes("entry-1", NOW);
-    membership.missed("entry-1", NOW.plusSeconds(3));
+    membership.recordFailedProbe("entry-1", NOW.plusSeconds(3));
     MemberRecord dead = membership.member("entry-1").orElseThrow();
-    membership.heard("entry-1", 2, NOW.plusSeconds(4));
+    membership.recordContact("entry-1", 2, NOW.plusSeconds(4));
     membership.merge(List.of(dead), NOW.plusSeconds(5));
 
     assertThat(membership.liveEntries()).hasSize(1);
@@ -115,8 +115,8 @@
     AddressBook own = AddressBook.create(leaving, 30, 1, 3);
     AddressBook peer = AddressBook.create(membership, 30, 1, 3);
     addKnownEntry("entry-1", 1);
-    membership.heard("entry-1", 1, NOW);
-    leaving.leaving("entry-1", NOW);
+    membership.recordContact("entry-1", 1, NOW);
+    leaving.markLeaving("entry-1", NOW);
 
     // The peer does not know that the entry is leaving, and gets a third entry's record with state
     // alive.
@@ -131,10 +131,10 @@
   void addressesOmitLeavingEntryAfterItsDigest() {
     Membership leaving = membershipOf("entry-1");
     addKnownEntry("entry-1", 1);
-    membership.heard("entry-1", 1, NOW);
-    leaving.leaving("entry-1", NOW);
+    membership.recordContact("entry-1", 1, NOW);
+    leaving.markLeaving("entry-1", NOW);
     membership.merge(leaving.digest(NOW), NOW);
-    membership.heard("entry-1", 1, NOW);
+    membership.recordContact("entry-1", 1, NOW);
 
     assertThat(AddressBook.create(membership, 30, 1, 3).addresses(NOW))
         .extracting(EntryAddress::url)
@@ -150,7 +150,7 @@
         .forEach(
             record -> {
               membership.merge(List.of(record), NOW);
-              membership.heard(record.id(), 1, NOW);
+              membership.recordContact(record.id(), 1, NOW);
             });
     membership.setLoad(5);
 
@@ -161,12 +161,12 @@
 
   @Test
   void linksAreBoundedAndMostlyStayWhenMembersAreAdded() {
-    membership.listed(agents(0, 50), NOW);
-    List<MemberRecord> before = membership.connectTo();
-    membership.listed(agents(0, 52), NOW);
+    membership.applyList(agents(0, 50), NOW);
+    List<MemberRecord> before = membership.membersToLink();
+    membership.applyList(agents(0, 52), NOW);
 
     assertThat(before).hasSize(6);
-    assertThat(membership.connectTo()).filteredOn(before::contains).hasSizeGreaterThan(3);
+    assertThat(membership.membersToLink()).filteredOn(before::contains).hasSizeGreaterThan(3);
   }
 
   @Test
@@ -195,13 +195,13 @@
   }
 
   private void addKnownEntry(String id, long incarnation) {
-    membership.listed(List.of(listed(id, MemberState.ALIVE)), NOW);
+    membership.applyList(List.of(listed(id, MemberState.ALIVE)), NOW);
     membership.merge(List.of(record(id, incarnation)), NOW);
   }
 
   private void missTwoProbes(String id, Instant now) {
-    membership.missed(id, now);
-    membership.missed(id, now);
+    membership.recordFailedProbe(id, now);
+    membership.recordFailedProbe(id, now);
   }
 
   private static Membership membershipOf(String id) {
--- a/core/src/test/java/dev/ibishub/core/RequestTrackerTest.java
+++ b/core/src/test/java/dev/ibishub/core/RequestTrackerTest.java
@@ -32,7 +32,7 @@
   @Test
   void allowsAnotherAttemptIfNothingWasSent() {
     tracker.dispatched("a", 1);
-    tracker.neverSent("a", ResultCode.TARGET_UNREACHABLE);
+    tracker.recordNotSent("a", ResultCode.TARGET_UNREACHABLE);
 
     assertThat(tracker.mayDispatch(NOW)).isTrue();
     assertThat(tracker.finalCode(ResultCode.NO_TARGET)).contains(ResultCode.TARGET_UNREACHABLE);
--- a/core/src/test/java/dev/ibishub/core/StreamBuffersTest.java
+++ b/core/src/test/java/dev/ibishub/core/StreamBuffersTest.java
@@ -48,7 +48,7 @@
     assertThat(buffers.hasRoom()).isFalse();
     assertThat(buffer.read(0, 1)).hasSize(1);
 
-    buffer.release(4);
+    buffer.acknowledge(4);
     buffer.append(11, new byte[1]);
 
     assertThat(buffer.read(4, 20)).hasSize(8);
@@ -60,7 +60,7 @@
     StreamBuffer unread = bufferWithChunks("unread", 4, 1);
     unread.end(AnswerEnd.success(1));
     StreamBuffer relayed = bufferWithChunks("relayed", 4, 1);
-    relayed.release(4);
+    relayed.acknowledge(4);
     relayed.end(AnswerEnd.success(1));
 
     bufferWithChunks("running", 4, 1);
--- a/core/src/test/java/dev/ibishub/core/entries/EntryRosterTest.java
+++ b/core/src/test/java/dev/ibishub/core/entries/EntryRosterTest.java
@@ -61,7 +61,7 @@
     Map<String, Set<String>> links = new TreeMap<>();
     fleet.forEach(
         (host, entry) ->
-            entry.roster.wanted(now).stream()
+            entry.roster.hostsToLink(now).stream()
                 .filter(other -> isUp(host) && isUp(other))
                 .forEach(
                     other -> {
@@ -82,14 +82,14 @@
     receiver.roster.onHeard(sender.facts, now);
     sender
         .roster
-        .heard(now)
-        .forEach((facts, heardAt) -> receiver.roster.onTold(facts, heardAt, now));
+        .heardDirectly(now)
+        .forEach((facts, heardAt) -> receiver.roster.onRelayed(facts, heardAt, now));
   }
 
   private List<String> leaders() {
     return fleet.keySet().stream()
         .filter(this::isUp)
-        .filter(host -> fleet.get(host).roster.turn(now) == 0)
+        .filter(host -> fleet.get(host).roster.position(now) == 0)
         .filter(host -> !fleet.get(host).roster.isAnyPending(now))
         .toList();
   }
--- a/core/src/test/java/dev/ibishub/core/entries/LargestSeenTest.java
+++ b/core/src/test/java/dev/ibishub/core/entries/SlidingMaximumTest.java
@@ -4,8 +4,8 @@
 
 import org.junit.jupiter.api.Test;
 
-final class LargestSeenTest {
-  private final LargestSeen seen = new LargestSeen(100);
+final class SlidingMaximumTest {
+  private final SlidingMaximum seen = new SlidingMaximum(100);
 
   @Test
   void returnsZeroIfNothingWasSeen() {
--- a/core/src/test/java/dev/ibishub/core/ranks/MapSwitchHistoryTest.java
+++ b/core/src/test/java/dev/ibishub/core/ranks/MapSwitchHistoryTest.java
@@ -20,7 +20,7 @@
   private static final long TICK_MILLIS = 25;
 
   /** Leader that starts a switch to a new map whenever it can. */
-  private static final class Leader implements TokenSource {
+  private static final class Leader implements FencingTokenSource {
     private final SimulatedGroup group;
     private final MapSwitch mapSwitch = new MapSwitch(RANKS, this);
     private final long salt;
@@ -40,12 +40,13 @@
       lastToken =
           Math.max(
               lastToken + 64,
-              (group.now() + clockErrorMillis + tokenOffset + 5_000) * 64 + salt * PER_SWITCH);
+              (group.now() + clockErrorMillis + tokenOffset + 5_000) * 64
+                  + salt * TOKENS_PER_SWITCH);
       return lastToken;
     }
 
     @Override
-    public void outbid() {
+    public void onHigherTokenSeen() {
       tokenOffset += 2_000;
     }
 
--- a/core/src/test/java/dev/ibishub/core/ranks/PlacementPlannerTest.java
+++ b/core/src/test/java/dev/ibishub/core/ranks/PlacementPlannerTest.java
@@ -18,11 +18,11 @@
   private static final PlacementLimits LIMITS = new PlacementLimits(5, 2, 2, 1.08);
 
   /** Fetches are short compared with a switch, so a plan uses all fetches that its limits allow. */
-  private static final MapEconomy ECONOMY =
-      new MapEconomy(skew -> 40 + 60 * skew, 5, 100, 0.15, 5_000);
+  private static final MapCostModel COST_MODEL =
+      new MapCostModel(skew -> 40 + 60 * skew, 5, 100, 0.15, 5_000);
 
-  private static GroupMap inTurn() {
-    return GroupMap.inTurn(RANKS, SETS, EXPERTS);
+  private static GroupMap roundRobin() {
+    return GroupMap.roundRobin(RANKS, SETS, EXPERTS);
   }
 
   /** Returns a skewed demand in which a few experts get most tokens. */
@@ -40,10 +40,10 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void planRespectsAllLimits(long seed) {
-    GroupMap current = inTurn();
+    GroupMap current = roundRobin();
 
     PlacementPlanner.Plan plan =
-        PlacementPlanner.plan(current, demand(seed), EVEN, LIMITS, ECONOMY).orElseThrow();
+        PlacementPlanner.plan(current, demand(seed), EVEN, LIMITS, COST_MODEL).orElseThrow();
 
     assertThat(plan.map().holdsAll(EXPERTS)).as("seed %d", seed).isTrue();
     for (int rank = 0; rank < RANKS; rank++) {
@@ -59,15 +59,15 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void threePlansNearlyBalanceGroup(long seed) {
     double[][] demand = demand(seed);
-    GroupMap map = inTurn();
+    GroupMap map = roundRobin();
     for (int round = 0; round < 3; round++) {
       map =
-          PlacementPlanner.plan(map, demand, EVEN, LIMITS, ECONOMY)
+          PlacementPlanner.plan(map, demand, EVEN, LIMITS, COST_MODEL)
               .map(PlacementPlanner.Plan::map)
               .orElse(map);
     }
 
-    assertThat(inTurn().skew(demand, EVEN)).isGreaterThan(1.6);
+    assertThat(roundRobin().skew(demand, EVEN)).isGreaterThan(1.6);
     assertThat(map.skew(demand, EVEN)).as("seed %d", seed).isLessThan(1.2);
   }
 
@@ -75,13 +75,13 @@
   // fetches, a map with a single fetch per rank already halves the step time half a second earlier.
   @Test
   void fetchesOneExpertPerRankWhenFetchesAreSlow() {
-    MapEconomy slowFetches = new MapEconomy(skew -> 40 + 60 * skew, 400, 100, 0.15, 5_000);
+    MapCostModel slowFetches = new MapCostModel(skew -> 40 + 60 * skew, 400, 100, 0.15, 5_000);
 
     PlacementPlanner.Plan plan =
-        PlacementPlanner.plan(inTurn(), demand(1), EVEN, LIMITS, slowFetches).orElseThrow();
+        PlacementPlanner.plan(roundRobin(), demand(1), EVEN, LIMITS, slowFetches).orElseThrow();
 
     for (int rank = 0; rank < RANKS; rank++) {
-      assertThat(inTurn().fetches(plan.map(), rank)).isLessThanOrEqualTo(1);
+      assertThat(roundRobin().fetches(plan.map(), rank)).isLessThanOrEqualTo(1);
     }
   }
 
@@ -89,9 +89,9 @@
   // that counts as the usual time of a switch, every map seems too late until the leader changes.
   @Test
   void stillPlansAfterOneLongSwitch() {
-    MapEconomy afterLongSwitch = new MapEconomy(skew -> 40 + 60 * skew, 50, 8_000, 0.15, 5_000);
+    MapCostModel afterLongSwitch = new MapCostModel(skew -> 40 + 60 * skew, 50, 8_000, 0.15, 5_000);
 
-    assertThat(PlacementPlanner.plan(inTurn(), demand(1), EVEN, LIMITS, afterLongSwitch))
+    assertThat(PlacementPlanner.plan(roundRobin(), demand(1), EVEN, LIMITS, afterLongSwitch))
         .isPresent();
   }
 
@@ -99,9 +99,9 @@
   // is ready, none of the maps ever fits.
   @Test
   void plansNothingWhenDemandEndsBeforeFetchDoes() {
-    MapEconomy shortDemand = new MapEconomy(skew -> 40 + 60 * skew, 400, 100, 0.15, 450);
+    MapCostModel shortDemand = new MapCostModel(skew -> 40 + 60 * skew, 400, 100, 0.15, 450);
 
-    assertThat(PlacementPlanner.plan(inTurn(), demand(1), EVEN, LIMITS, shortDemand)).isEmpty();
+    assertThat(PlacementPlanner.plan(roundRobin(), demand(1), EVEN, LIMITS, shortDemand)).isEmpty();
   }
 
   // Guards against a gain threshold that depends on the size of the group: if the gain of one
@@ -121,11 +121,11 @@
                         .mapToDouble(e -> Math.pow(1 + random.nextInt(2 * ranks), -0.44))
                         .toArray())
             .toArray(double[][]::new);
-    GroupMap map = GroupMap.inTurn(ranks, demand.length, 2 * ranks);
+    GroupMap map = GroupMap.roundRobin(ranks, demand.length, 2 * ranks);
     PlacementLimits limits = new PlacementLimits(3, 2, 4, 1.05);
     for (int round = 0; round < 3; round++) {
       map =
-          PlacementPlanner.plan(map, demand, even, limits, ECONOMY)
+          PlacementPlanner.plan(map, demand, even, limits, COST_MODEL)
               .map(PlacementPlanner.Plan::map)
               .orElse(map);
     }
@@ -138,13 +138,15 @@
     double[][] even = new double[SETS][EXPERTS];
     Arrays.stream(even).forEach(set -> Arrays.fill(set, 3));
 
-    assertThat(PlacementPlanner.plan(inTurn(), even, EVEN, LIMITS, ECONOMY))
+    assertThat(PlacementPlanner.plan(roundRobin(), even, EVEN, LIMITS, COST_MODEL))
         .isEqualTo(Optional.empty());
   }
 
   @Test
   void plansNothingWithoutDemand() {
-    assertThat(PlacementPlanner.plan(inTurn(), new double[SETS][EXPERTS], EVEN, LIMITS, ECONOMY))
+    assertThat(
+            PlacementPlanner.plan(
+                roundRobin(), new double[SETS][EXPERTS], EVEN, LIMITS, COST_MODEL))
         .isEmpty();
   }
 
@@ -155,14 +157,14 @@
     double[][] demand = demand(4);
     double[] slowness = EVEN.clone();
     slowness[3] = 3;
-    GroupMap map = inTurn();
+    GroupMap map = roundRobin();
     for (int round = 0; round < 4; round++) {
       map =
-          PlacementPlanner.plan(map, demand, slowness, LIMITS, ECONOMY)
+          PlacementPlanner.plan(map, demand, slowness, LIMITS, COST_MODEL)
               .map(PlacementPlanner.Plan::map)
               .orElse(map);
     }
 
-    assertThat(map.skew(demand, slowness)).isLessThan(0.6 * inTurn().skew(demand, slowness));
+    assertThat(map.skew(demand, slowness)).isLessThan(0.6 * roundRobin().skew(demand, slowness));
   }
 }
--- a/core/src/test/java/dev/ibishub/core/ranks/PlacementPropertyTest.java
+++ b/core/src/test/java/dev/ibishub/core/ranks/PlacementPropertyTest.java
@@ -18,13 +18,13 @@
   private static final String SEED = "3";
   private static final int TRIES = 200;
   private static final double ROUNDING_ERROR = 1e-9;
-  private static final MapEconomy ECONOMY =
-      new MapEconomy(skew -> 40 + 60 * skew, 50, 100, 0.15, 5_000);
+  private static final MapCostModel COST_MODEL =
+      new MapCostModel(skew -> 40 + 60 * skew, 50, 100, 0.15, 5_000);
 
   @SuppressWarnings("ArrayRecordComponent") // Never compared or hashed.
   private record Case(GroupMap map, double[][] demand, double[] slowness, PlacementLimits limits) {
     Optional<PlacementPlanner.Plan> plan() {
-      return PlacementPlanner.plan(map, demand, slowness, limits, ECONOMY);
+      return PlacementPlanner.plan(map, demand, slowness, limits, COST_MODEL);
     }
 
     @Override
@@ -132,7 +132,7 @@
       long randomSeed) {
     Random random = new Random(randomSeed);
     int experts = Math.max(1, ranks * expertsPerRank - random.nextInt(2));
-    GroupMap map = GroupMap.inTurn(ranks, sets, experts);
+    GroupMap map = GroupMap.roundRobin(ranks, sets, experts);
     PlacementLimits limits =
         new PlacementLimits(
             expertsPerRank + spareSlots,
--- a/core/src/test/java/dev/ibishub/core/serving/AnswerTimesTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/AnswerTimesTest.java
@@ -16,14 +16,14 @@
   private final AnswerTimes times = new AnswerTimes();
 
   private void recordAnswers(int number, long millis) {
-    IntStream.range(0, number).forEach(i -> times.onGood(millis));
+    IntStream.range(0, number).forEach(i -> times.onSuccess(millis));
   }
 
   @Test
   void delayLeavesTimeForMedianAnswerWithinGoal() {
     recordAnswers(40, USUAL_MILLIS);
 
-    assertThat(times.silenceMillis(GOAL_MILLIS)).hasValue(GOAL_MILLIS - USUAL_MILLIS);
+    assertThat(times.hedgeDelayMillis(GOAL_MILLIS)).hasValue(GOAL_MILLIS - USUAL_MILLIS);
   }
 
   @Test
@@ -31,13 +31,13 @@
     recordAnswers(50, 60);
     recordAnswers(14, 110);
 
-    assertThat(times.silenceMillis(GOAL_MILLIS)).hasValue(110);
+    assertThat(times.hedgeDelayMillis(GOAL_MILLIS)).hasValue(110);
   }
 
   @Test
   void delayIsHalfOfGoalWithoutAnswers() {
-    assertThat(times.silenceMillis(GOAL_MILLIS)).hasValue(GOAL_MILLIS / 2);
-    assertThat(times.silenceMillis(0)).isEmpty();
+    assertThat(times.hedgeDelayMillis(GOAL_MILLIS)).hasValue(GOAL_MILLIS / 2);
+    assertThat(times.hedgeDelayMillis(0)).isEmpty();
   }
 
   @Test
@@ -45,18 +45,19 @@
     recordAnswers(100, 500);
     recordAnswers(64, USUAL_MILLIS);
 
-    assertThat(times.silenceMillis(GOAL_MILLIS)).hasValue(GOAL_MILLIS - USUAL_MILLIS);
+    assertThat(times.hedgeDelayMillis(GOAL_MILLIS)).hasValue(GOAL_MILLIS - USUAL_MILLIS);
   }
 
   // Guards against a hedge that is sent too late. One target of three never answers one request in
   // five, and without a hedge callers wait the route's whole 0.6 s although the other targets
-  // answer within 45 ms. With a hedging delay of 260 ms, beyond the goal of 122 ms, only 0.933 of
-  // the answers came within the goal plus the spread of an answer.
+  // answer within 45 ms. With a hedging delay of 260 ms, beyond the objective of 122 ms, only 0.933
+  // of
+  // the answers came within the objective plus the spread of an answer.
   @Test
   void hedgedRequestsMeetGoalIfTargetLosesRequests() {
     Random random = new Random(7);
     recordAnswers(40, USUAL_MILLIS);
-    long hedgeDelay = times.silenceMillis(GOAL_MILLIS).orElseThrow();
+    long hedgeDelay = times.hedgeDelayMillis(GOAL_MILLIS).orElseThrow();
     long inTime =
         IntStream.range(0, 2_000)
             .mapToLong(
--- a/core/src/test/java/dev/ibishub/core/serving/CrashBlameTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/RequestQuarantineTest.java
@@ -6,19 +6,19 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-final class CrashBlameTest {
+final class RequestQuarantineTest {
   private static final RequestIdentity GUILTY = identity("guilty");
   private static final RequestIdentity INNOCENT = identity("innocent");
 
-  private final CrashBlame blame = new CrashBlame();
+  private final RequestQuarantine quarantine = new RequestQuarantine();
 
   private static RequestIdentity identity(String body) {
     return RequestIdentity.of("/stream/x", "w", body.getBytes(StandardCharsets.UTF_8));
   }
 
-  private void crash(RequestIdentity request, String life, long sentAt, long brokenAt) {
-    blame.onBroken(new CrashedRun(request, life, sentAt, brokenAt));
-    blame.onCrashed(life);
+  private void crash(RequestIdentity request, String incarnation, long sentAt, long brokenAt) {
+    quarantine.onBroken(new CrashedRun(request, incarnation, sentAt, brokenAt));
+    quarantine.onCrashed(incarnation);
   }
 
   @Test
@@ -32,18 +32,18 @@
   @Test
   void secondSuccessiveCrashQuarantinesRequest() {
     crash(GUILTY, "a", 0, 10);
-    assertThat(blame.isQuarantined(GUILTY, 20)).isFalse();
+    assertThat(quarantine.isQuarantined(GUILTY, 20)).isFalse();
 
     crash(GUILTY, "b", 20, 30);
-    assertThat(blame.isQuarantined(GUILTY, 40)).isTrue();
+    assertThat(quarantine.isQuarantined(GUILTY, 40)).isTrue();
   }
 
   @Test
   void brokenRunOnLiveTargetDoesNotCountAsCrash() {
-    blame.onBroken(new CrashedRun(GUILTY, "a", 0, 10));
-    blame.onBroken(new CrashedRun(GUILTY, "b", 20, 30));
+    quarantine.onBroken(new CrashedRun(GUILTY, "a", 0, 10));
+    quarantine.onBroken(new CrashedRun(GUILTY, "b", 20, 30));
 
-    assertThat(blame.crashes(GUILTY)).isZero();
+    assertThat(quarantine.crashes(GUILTY)).isZero();
   }
 
   // Guards against quarantines of innocent requests after many targets have lost power at once.
@@ -53,44 +53,44 @@
     crash(INNOCENT, "b", 500, 1_001);
     crash(INNOCENT, "c", 600, 1_002);
 
-    assertThat(blame.crashes(INNOCENT)).isEqualTo(1);
-    assertThat(blame.isQuarantined(INNOCENT, 2_000)).isFalse();
+    assertThat(quarantine.crashes(INNOCENT)).isEqualTo(1);
+    assertThat(quarantine.isQuarantined(INNOCENT, 2_000)).isFalse();
   }
 
   // Guards against a quarantine that takes effect at one entry only. The other entries date the
   // first crash too late by the transit time of its report, so that the runs seem to overlap.
   @Test
   void runThatOverlapsWithinToleranceCountsAsSuccessive() {
-    blame.onTold(new CrashedRun(GUILTY, "a", 90, 110));
-    blame.onTold(new CrashedRun(GUILTY, "b", 60, 115));
+    quarantine.onReport(new CrashedRun(GUILTY, "a", 90, 110));
+    quarantine.onReport(new CrashedRun(GUILTY, "b", 60, 115));
 
-    assertThat(blame.crashes(GUILTY)).isEqualTo(2);
+    assertThat(quarantine.crashes(GUILTY)).isEqualTo(2);
   }
 
   @Test
   void answeredRequestIsCleared() {
     crash(INNOCENT, "a", 0, 10);
 
-    assertThat(blame.onCompleted(INNOCENT)).isTrue();
+    assertThat(quarantine.onCompleted(INNOCENT)).isTrue();
     crash(INNOCENT, "b", 20, 30);
-    assertThat(blame.isQuarantined(INNOCENT, 40)).isFalse();
+    assertThat(quarantine.isQuarantined(INNOCENT, 40)).isFalse();
   }
 
   @Test
   void crashKnownBeforeBrokenRunCounts() {
-    blame.onCrashed("a");
+    quarantine.onCrashed("a");
 
-    assertThat(blame.onBroken(new CrashedRun(GUILTY, "a", 0, 10))).hasSize(1);
-    assertThat(blame.crashes(GUILTY)).isEqualTo(1);
+    assertThat(quarantine.onBroken(new CrashedRun(GUILTY, "a", 0, 10))).hasSize(1);
+    assertThat(quarantine.crashes(GUILTY)).isEqualTo(1);
   }
 
   @Test
   void crashReportedByTwoEntriesCountsOnce() {
     crash(GUILTY, "a", 0, 10);
 
-    assertThat(blame.onTold(new CrashedRun(GUILTY, "a", 1, 11))).isFalse();
-    assertThat(blame.onTold(new CrashedRun(GUILTY, "b", 20, 30))).isTrue();
-    assertThat(blame.isQuarantined(GUILTY, 40)).isTrue();
+    assertThat(quarantine.onReport(new CrashedRun(GUILTY, "a", 1, 11))).isFalse();
+    assertThat(quarantine.onReport(new CrashedRun(GUILTY, "b", 20, 30))).isTrue();
+    assertThat(quarantine.isQuarantined(GUILTY, 40)).isTrue();
   }
 
   // Guards against a request that is refused forever after two crashes that it did not cause, and
@@ -99,21 +99,23 @@
   void quarantineEndsAndIsLongerAfterFurtherCrash() {
     crash(GUILTY, "a", 0, 10);
     crash(GUILTY, "b", 20, 30);
-    long endsAt = 30 + CrashBlame.FIRST_QUARANTINE_MILLIS;
-    assertThat(blame.isQuarantined(GUILTY, endsAt - 1)).isTrue();
-    assertThat(blame.isQuarantined(GUILTY, endsAt)).isFalse();
+    long endsAt = 30 + RequestQuarantine.FIRST_QUARANTINE_MILLIS;
+    assertThat(quarantine.isQuarantined(GUILTY, endsAt - 1)).isTrue();
+    assertThat(quarantine.isQuarantined(GUILTY, endsAt)).isFalse();
 
     crash(GUILTY, "c", endsAt, endsAt + 10);
-    assertThat(blame.isQuarantined(GUILTY, endsAt + 2 * CrashBlame.FIRST_QUARANTINE_MILLIS))
+    assertThat(
+            quarantine.isQuarantined(
+                GUILTY, endsAt + 2 * RequestQuarantine.FIRST_QUARANTINE_MILLIS))
         .isTrue();
   }
 
   // Guards against memory use that grows with each broken run.
   @Test
   void numberOfSuspectsIsBounded() {
-    IntStream.range(0, 2 * CrashBlame.MAXIMUM_KEPT)
+    IntStream.range(0, 2 * RequestQuarantine.MAXIMUM_KEPT)
         .forEach(number -> crash(identity("body " + number), "life " + number, number, number + 1));
 
-    assertThat(blame.all()).hasSize(CrashBlame.MAXIMUM_KEPT);
+    assertThat(quarantine.all()).hasSize(RequestQuarantine.MAXIMUM_KEPT);
   }
 }
--- a/core/src/test/java/dev/ibishub/core/serving/RetryBudgetFleetTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/RetryBudgetFleetTest.java
@@ -2,7 +2,7 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import dev.ibishub.core.entries.LargestSeen;
+import dev.ibishub.core.entries.SlidingMaximum;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -29,7 +29,7 @@
   private static final long VIEW_LAG_MILLIS = 900;
   private static final long DISCOVERY_MILLIS = 250;
   private static final long FIRST_START_MILLIS = -15_000;
-  private static final long LARGEST_SEEN_MILLIS = 10 * WINDOW_MILLIS;
+  private static final long SLIDING_MAXIMUM_MILLIS = 10 * WINDOW_MILLIS;
   private static final long COUNT_PERIOD_MILLIS = 100;
   private static final long[] RETRY_DELAYS_MILLIS = {4, 250, 500};
   private static final int SEEDS = 10;
@@ -37,7 +37,7 @@
   private static final class Entry {
     private SharedRetryBudget budget =
         new SharedRetryBudget(() -> LIMITS, FIRST_START_MILLIS + WINDOW_MILLIS);
-    private LargestSeen seen = new LargestSeen(LARGEST_SEEN_MILLIS);
+    private SlidingMaximum seen = new SlidingMaximum(SLIDING_MAXIMUM_MILLIS);
     private long startedAt = FIRST_START_MILLIS;
     private long downFrom = Long.MAX_VALUE;
     private int incarnations = 1;
@@ -110,7 +110,7 @@
         .forEach(
             entry -> {
               entry.budget = new SharedRetryBudget(() -> LIMITS, now + WINDOW_MILLIS);
-              entry.seen = new LargestSeen(LARGEST_SEEN_MILLIS);
+              entry.seen = new SlidingMaximum(SLIDING_MAXIMUM_MILLIS);
               entry.startedAt = now;
               entry.incarnations++;
             });
--- a/core/src/test/java/dev/ibishub/core/serving/RetryRuleTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/RetryRuleTest.java
@@ -34,11 +34,11 @@
   void refusedRequestWithTimeLeftIsRetriedAfterDelay() {
     RetryRule rule = new RetryRule(RequestKind.RESUMABLE_STREAM, 2);
 
-    assertThat(rule.pauseMillis(AttemptOutcome.REFUSED, 1, 8_000)).isZero();
-    assertThat(rule.pauseMillis(AttemptOutcome.REFUSED, 2, 8_000)).isEqualTo(250);
-    assertThat(rule.pauseMillis(AttemptOutcome.REFUSED, 3, 7_000)).isEqualTo(500);
-    assertThat(rule.pauseMillis(AttemptOutcome.REFUSED, 2, 1_400)).isZero();
-    assertThat(rule.pauseMillis(AttemptOutcome.BROKEN, 2, 8_000)).isZero();
+    assertThat(rule.retryDelayMillis(AttemptOutcome.REFUSED, 1, 8_000)).isZero();
+    assertThat(rule.retryDelayMillis(AttemptOutcome.REFUSED, 2, 8_000)).isEqualTo(250);
+    assertThat(rule.retryDelayMillis(AttemptOutcome.REFUSED, 3, 7_000)).isEqualTo(500);
+    assertThat(rule.retryDelayMillis(AttemptOutcome.REFUSED, 2, 1_400)).isZero();
+    assertThat(rule.retryDelayMillis(AttemptOutcome.BROKEN, 2, 8_000)).isZero();
   }
 
   @Test
--- a/core/src/test/java/dev/ibishub/core/serving/SharedLimitsTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/SharedLimitsTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 final class SharedLimitsTest {
-  private static final String LIFE = "t@1";
+  private static final String INCARNATION = "t@1";
   private static final OptionalDouble NO_LIMIT = OptionalDouble.empty();
 
   private final SharedLimits limits = limits("own");
@@ -22,15 +22,15 @@
     return new SharedLimits(host, LimitDivision.amongFewHolders());
   }
 
-  private static LimitWord statement(double requestsPerSecond, long saidAt) {
-    return new LimitWord(LIFE, OptionalDouble.of(requestsPerSecond), saidAt);
+  private static LimitStatement statement(double requestsPerSecond, long statedAt) {
+    return new LimitStatement(INCARNATION, OptionalDouble.of(requestsPerSecond), statedAt);
   }
 
   /** Sends a request in each millisecond in which one is allowed, and returns their number. */
   private static long countSends(SharedLimits limits, long from, long until) {
     return LongStream.range(from, until)
-        .filter(now -> limits.allows(LIFE, now))
-        .peek(now -> limits.onSent(LIFE, now))
+        .filter(now -> limits.allows(INCARNATION, now))
+        .peek(now -> limits.onSent(INCARNATION, now))
         .count();
   }
 
@@ -41,7 +41,7 @@
 
   @Test
   void onlyEntrySendsAtRateOfLimit() {
-    limits.onAnswer(LIFE, OptionalDouble.of(2), 0, 10);
+    limits.onAnswer(INCARNATION, OptionalDouble.of(2), 0, 10);
 
     assertThat(countSends(limits, 10, 4_010)).isBetween(7L, 8L);
   }
@@ -49,11 +49,11 @@
   // Guards against a burst from each entry that learns of a limit or becomes one of its holders.
   @Test
   void entryThatLearnsOfLimitDoesNotSendAtOnce() {
-    limits.onAnswer(LIFE, OptionalDouble.of(2), 0, 10);
+    limits.onAnswer(INCARNATION, OptionalDouble.of(2), 0, 10);
 
-    assertThat(limits.allows(LIFE, 10)).isFalse();
-    assertThat(limits.allows(LIFE, 509)).isFalse();
-    assertThat(limits.allows(LIFE, 510)).isTrue();
+    assertThat(limits.allows(INCARNATION, 10)).isFalse();
+    assertThat(limits.allows(INCARNATION, 509)).isFalse();
+    assertThat(limits.allows(INCARNATION, 510)).isTrue();
   }
 
   @ParameterizedTest
@@ -62,7 +62,7 @@
     Set<String> hosts = Set.of("1", "2", "3", "4", "5", "6", "7");
     List<Double> shares =
         hosts.stream()
-            .map(host -> LimitDivision.amongFewHolders().share(host, hosts, LIFE, limit))
+            .map(host -> LimitDivision.amongFewHolders().share(host, hosts, INCARNATION, limit))
             .filter(share -> share > 0)
             .toList();
 
@@ -72,54 +72,55 @@
   // Guards against a delayed answer that ends a limit which the target still states.
   @Test
   void answerToRequestSentBeforeLimitWasStatedDoesNotEndIt() {
-    limits.onAnswer(LIFE, OptionalDouble.of(1), 0, 100);
+    limits.onAnswer(INCARNATION, OptionalDouble.of(1), 0, 100);
 
-    assertThat(limits.onAnswer(LIFE, NO_LIMIT, 90, 200)).isEmpty();
-    assertThat(limits.isLimited(LIFE)).isTrue();
-    assertThat(limits.onAnswer(LIFE, NO_LIMIT, 110, 300)).isPresent();
-    assertThat(limits.isLimited(LIFE)).isFalse();
-    assertThat(limits.allows(LIFE, 300)).isTrue();
+    assertThat(limits.onAnswer(INCARNATION, NO_LIMIT, 90, 200)).isEmpty();
+    assertThat(limits.isLimited(INCARNATION)).isTrue();
+    assertThat(limits.onAnswer(INCARNATION, NO_LIMIT, 110, 300)).isPresent();
+    assertThat(limits.isLimited(INCARNATION)).isFalse();
+    assertThat(limits.allows(INCARNATION, 300)).isTrue();
   }
 
   @Test
   void latestStatementCountsWhicheverEntryReceivedIt() {
-    limits.onAnswer(LIFE, OptionalDouble.of(1), 0, 100);
+    limits.onAnswer(INCARNATION, OptionalDouble.of(1), 0, 100);
 
-    assertThat(limits.onWord(statement(5, 90), 200)).isFalse();
-    assertThat(limits.onWord(new LimitWord(LIFE, NO_LIMIT, 150), 200)).isTrue();
-    assertThat(limits.isLimited(LIFE)).isFalse();
+    assertThat(limits.onPeerStatement(statement(5, 90), 200)).isFalse();
+    assertThat(limits.onPeerStatement(new LimitStatement(INCARNATION, NO_LIMIT, 150), 200))
+        .isTrue();
+    assertThat(limits.isLimited(INCARNATION)).isFalse();
   }
 
   // Guards against a limit of 0 whose end no entry ever learns of, as none sends a request.
   @Test
   void targetWithLimitOfZeroStillGetsOccasionalRequests() {
-    limits.onWord(statement(0, 0), 0);
+    limits.onPeerStatement(statement(0, 0), 0);
 
     assertThat(countSends(limits, 0, 9_000)).isEqualTo(1);
   }
 
   @Test
   void changesAreBroadcastAtOnceAndUnchangedLimitsPeriodically() {
-    assertThat(limits.onAnswer(LIFE, OptionalDouble.of(1), 0, 100)).isPresent();
-    assertThat(limits.onAnswer(LIFE, OptionalDouble.of(1), 150, 1_000)).isEmpty();
-    assertThat(limits.takeDue()).isEmpty();
-
-    assertThat(limits.onAnswer(LIFE, OptionalDouble.of(1), 1_500, 2_100)).isEmpty();
-    assertThat(limits.takeDue()).containsExactly(statement(1, 2_100));
-    assertThat(limits.takeDue()).isEmpty();
-    assertThat(limits.onAnswer(LIFE, OptionalDouble.of(3), 2_200, 2_300))
+    assertThat(limits.onAnswer(INCARNATION, OptionalDouble.of(1), 0, 100)).isPresent();
+    assertThat(limits.onAnswer(INCARNATION, OptionalDouble.of(1), 150, 1_000)).isEmpty();
+    assertThat(limits.takeDueBroadcasts()).isEmpty();
+
+    assertThat(limits.onAnswer(INCARNATION, OptionalDouble.of(1), 1_500, 2_100)).isEmpty();
+    assertThat(limits.takeDueBroadcasts()).containsExactly(statement(1, 2_100));
+    assertThat(limits.takeDueBroadcasts()).isEmpty();
+    assertThat(limits.onAnswer(INCARNATION, OptionalDouble.of(3), 2_200, 2_300))
         .contains(statement(3, 2_300));
   }
 
   // Guards against a target that never gets requests again because the holder of its limit is lost.
   @Test
   void limitThatIsNoLongerStatedExpires() {
-    limits.onWord(statement(1, 0), 0);
+    limits.onPeerStatement(statement(1, 0), 0);
     limits.tick(Set.of("own"), SharedLimits.EXPIRY_MILLIS);
-    assertThat(limits.isLimited(LIFE)).isTrue();
+    assertThat(limits.isLimited(INCARNATION)).isTrue();
 
     limits.tick(Set.of("own"), SharedLimits.EXPIRY_MILLIS + 1);
-    assertThat(limits.isLimited(LIFE)).isFalse();
+    assertThat(limits.isLimited(INCARNATION)).isFalse();
   }
 
   @Test
@@ -128,7 +129,7 @@
     SharedLimits first = limits("a");
     SharedLimits second = limits("b");
     List<SharedLimits> entries = List.of(first, second);
-    entries.forEach(entry -> entry.onWord(statement(1, 0), 0));
+    entries.forEach(entry -> entry.onPeerStatement(statement(1, 0), 0));
     entries.forEach(entry -> entry.tick(both, 0));
     List<Long> sends = entries.stream().map(entry -> countSends(entry, 0, 4_000)).toList();
     assertThat(sends).containsExactlyInAnyOrder(3L, 0L);
@@ -149,8 +150,8 @@
         fewer.stream()
             .filter(
                 host ->
-                    (division.share(host, hosts, LIFE, 5) > 0)
-                        != (division.share(host, fewer, LIFE, 5) > 0))
+                    (division.share(host, hosts, INCARNATION, 5) > 0)
+                        != (division.share(host, fewer, INCARNATION, 5) > 0))
             .count();
 
     assertThat(changed).isLessThanOrEqualTo(1);
--- a/core/src/test/java/dev/ibishub/core/serving/SilenceRuleTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/SilenceRuleTest.java
@@ -20,9 +20,9 @@
   void streamWithoutFirstPieceIsLostWhileOthersProgress() {
     addPiecesEvery80Millis(0, 2_000);
 
-    assertThat(SilenceRule.isLost(1_700, 1_000, false, false, progress.movingSince(1_700)))
+    assertThat(SilenceRule.isLost(1_700, 1_000, false, false, progress.progressingSince(1_700)))
         .isFalse();
-    assertThat(SilenceRule.isLost(2_000, 1_000, false, false, progress.movingSince(2_000)))
+    assertThat(SilenceRule.isLost(2_000, 1_000, false, false, progress.progressingSince(2_000)))
         .isTrue();
   }
 
@@ -30,14 +30,16 @@
   void streamThatMayStillBeQueuedIsNotLost() {
     addPiecesEvery80Millis(0, 2_000);
 
-    assertThat(SilenceRule.isLost(2_000, 0, false, true, progress.movingSince(2_000))).isFalse();
+    assertThat(SilenceRule.isLost(2_000, 0, false, true, progress.progressingSince(2_000)))
+        .isFalse();
   }
 
   @Test
   void streamThatStoppedAfterFirstPieceIsLostSooner() {
     addPiecesEvery80Millis(0, 2_000);
 
-    assertThat(SilenceRule.isLost(1_900, 1_100, true, true, progress.movingSince(1_900))).isTrue();
+    assertThat(SilenceRule.isLost(1_900, 1_100, true, true, progress.progressingSince(1_900)))
+        .isTrue();
   }
 
   // Guards against moving all streams of a group to other targets at once, which doubles the work.
@@ -46,7 +48,7 @@
   void streamsOfStalledGroupAreNotLost() {
     addPiecesEvery80Millis(0, 1_000);
 
-    assertThat(SilenceRule.isLost(2_400, 1_000, true, false, progress.movingSince(2_400)))
+    assertThat(SilenceRule.isLost(2_400, 1_000, true, false, progress.progressingSince(2_400)))
         .isFalse();
   }
 
@@ -57,13 +59,14 @@
     addPiecesEvery80Millis(0, 1_000);
     addPiecesEvery80Millis(2_500, 3_300);
 
-    assertThat(SilenceRule.isLost(2_600, 1_000, true, false, progress.movingSince(2_600)))
+    assertThat(SilenceRule.isLost(2_600, 1_000, true, false, progress.progressingSince(2_600)))
         .isFalse();
-    assertThat(SilenceRule.isLost(3_300, 1_000, true, false, progress.movingSince(3_300))).isTrue();
+    assertThat(SilenceRule.isLost(3_300, 1_000, true, false, progress.progressingSince(3_300)))
+        .isTrue();
   }
 
   @Test
   void noStreamProgressesBeforeFirstPiece() {
-    assertThat(progress.movingSince(5_000)).isEqualTo(OptionalLong.empty());
+    assertThat(progress.progressingSince(5_000)).isEqualTo(OptionalLong.empty());
   }
 }
--- a/core/src/test/java/dev/ibishub/core/serving/TargetChoiceTest.java
+++ b/core/src/test/java/dev/ibishub/core/serving/TargetChoiceTest.java
@@ -61,14 +61,14 @@
     List<Candidate> candidates = candidates(ranks);
     candidates.forEach(each -> each.load().onGroup(group));
     candidates.forEach(each -> each.load().onReport(new TargetReport(0, 1, false, 90)));
-    group.onWord(1, false, 90);
+    group.onReport(1, false, 90);
     for (int request = 0; request < 60; request++) {
       int reporting = request / 20;
       candidates
           .get(reporting)
           .load()
           .onReport(new TargetReport(running[reporting], 1, true, 100 + request));
-      group.onWord(2, true, 100 + request);
+      group.onReport(2, true, 100 + request);
       List<Candidate> shuffled = new ArrayList<>(candidates);
       Collections.shuffle(shuffled, random);
       Candidate chosen =
@@ -86,9 +86,9 @@
     List<Candidate> candidates = candidates(3);
     candidates.forEach(each -> each.load().onGroup(group));
     candidates.forEach(each -> each.load().onReport(TargetReport.ofRequests(0, 100)));
-    group.onWord(4, true, 100);
-    group.onWord(4, false, 130);
-    group.onWord(3, true, 140);
+    group.onReport(4, true, 100);
+    group.onReport(4, false, 130);
+    group.onReport(3, true, 140);
 
     List<TargetLoad> loads = candidates.stream().map(Candidate::load).toList();
     assertThat(TargetChoice.areClosed(loads, 150)).isTrue();
@@ -114,7 +114,7 @@
   @Test
   void targetThatRequestedBackOffIsNotChosenThoughNoOtherIsReachable() {
     List<Candidate> all = candidates(2);
-    all.get(0).load().onRestAsked(3_000);
+    all.get(0).load().onBackOffRequested(3_000);
     all.get(1).load().onUnreachable(0);
 
     assertThat(new TargetChoice(1, 9).choose(all, Set.of(), 0)).map(Candidate::id).contains("t1");
@@ -125,8 +125,8 @@
   @Test
   void laterAnswerDoesNotShortenBackOff() {
     List<Candidate> all = candidates(1);
-    all.get(0).load().onRestAsked(3_000);
-    all.get(0).load().onRestAsked(1_000);
+    all.get(0).load().onBackOffRequested(3_000);
+    all.get(0).load().onBackOffRequested(1_000);
 
     assertThat(new TargetChoice(1, 9).choose(all, Set.of(), 2_000)).isEmpty();
   }
@@ -134,11 +134,11 @@
   @Test
   void returnsTimeUntilFirstBackOffEndsIfAllTargetsRequestedOne() {
     List<TargetLoad> loads = candidates(2).stream().map(Candidate::load).toList();
-    loads.get(0).onRestAsked(3_000);
-    assertThat(TargetChoice.untilRested(loads, 1_000)).isEmpty();
+    loads.get(0).onBackOffRequested(3_000);
+    assertThat(TargetChoice.millisUntilBackOffEnds(loads, 1_000)).isEmpty();
 
-    loads.get(1).onRestAsked(2_500);
-    assertThat(TargetChoice.untilRested(loads, 1_000)).hasValue(1_500);
+    loads.get(1).onBackOffRequested(2_500);
+    assertThat(TargetChoice.millisUntilBackOffEnds(loads, 1_000)).hasValue(1_500);
   }
 
   @Test
--- a/entry/src/main/java/dev/ibishub/entry/Entry.java
+++ b/entry/src/main/java/dev/ibishub/entry/Entry.java
@@ -5,7 +5,7 @@
 import dev.ibishub.administration.AuditTrail;
 import dev.ibishub.administration.ConfigurationFollower;
 import dev.ibishub.administration.ConfigurationPublisher;
-import dev.ibishub.administration.ConfigurationSnapshots;
+import dev.ibishub.administration.ConfigurationSnapshotWriter;
 import dev.ibishub.administration.OperatorApi;
 import dev.ibishub.core.AddressBook;
 import dev.ibishub.core.Admission;
@@ -24,7 +24,7 @@
 import dev.ibishub.outbound.OutboundHttp;
 import dev.ibishub.outbound.VirtualMachineList;
 import dev.ibishub.runtime.LogEvent;
-import dev.ibishub.runtime.MetricsPage;
+import dev.ibishub.runtime.MonitoringEndpoints;
 import dev.ibishub.settings.EntrySettings;
 import dev.ibishub.wire.Identity;
 import dev.ibishub.wire.TlsContexts;
@@ -150,7 +150,7 @@
    */
   public void drain() {
     Instant deadline = clock.instant().plusSeconds(settings.drainSeconds());
-    membership.leaving(settings.processId(), clock.instant());
+    membership.markLeaving(settings.processId(), clock.instant());
     peers.sendUpdates();
     logger.atInfo().log("%s", LogEvent.of("entry.leaving"));
     Instant serveUntil =
@@ -196,7 +196,7 @@
   private void addEndpoints(OrderSender orders) {
     newCallerEndpoints().addTo(server);
     new OperatorEndpoints(settings, operatorApi(orders)).addTo(server);
-    MetricsPage.addTo(http, metrics.registry(), this::isReady);
+    MonitoringEndpoints.addTo(http, metrics.registry(), this::isReady);
     metrics.gauge("ibishub_entry_in_flight", "Requests in flight.", server::inFlight);
     metrics.gauge("ibishub_entry_targets", "Links to agents.", targets::linkCount);
     metrics.gauge("ibishub_entry_peers", "Links to other entries.", peers::linkCount);
@@ -249,8 +249,8 @@
             clock);
     targets.addFrameListener(controllers::onFrame);
     scheduleEvery(GROUP_TICK_INTERVAL_MILLIS, controllers::tick);
-    ConfigurationSnapshots snapshots =
-        ConfigurationSnapshots.create(
+    ConfigurationSnapshotWriter snapshots =
+        ConfigurationSnapshotWriter.create(
             log,
             configuration,
             settings.processId(),
@@ -298,7 +298,7 @@
         .read()
         .thenAccept(
             machines ->
-                membership.listed(
+                membership.applyList(
                     machines.stream().map(MemberConverter::fromList).toList(), clock.instant()));
   }
 
--- a/entry/src/main/java/dev/ibishub/entry/EntryMain.java
+++ b/entry/src/main/java/dev/ibishub/entry/EntryMain.java
@@ -2,8 +2,8 @@
 
 import dev.ibishub.runtime.CommandLine;
 import dev.ibishub.runtime.LogSetup;
+import dev.ibishub.runtime.ProcessSignals;
 import dev.ibishub.runtime.Startup;
-import dev.ibishub.runtime.StopSignals;
 import dev.ibishub.settings.EntrySettings;
 import dev.ibishub.settings.LogFormat;
 import dev.ibishub.settings.SettingsException;
@@ -28,8 +28,8 @@
     LogSetup.configure(
         settings.logFormat() == LogFormat.JSON ? "json" : "key-value", settings.processId());
     configureHttpServer(settings);
-    Entry entry = Startup.orEnd(() -> Entry.start(settings));
-    StopSignals.onStop(
+    Entry entry = Startup.startOrExit(() -> Entry.start(settings));
+    ProcessSignals.onStop(
         () -> {
           entry.drain();
           System.exit(0);
--- a/entry/src/main/java/dev/ibishub/entry/GroupController.java
+++ b/entry/src/main/java/dev/ibishub/entry/GroupController.java
@@ -108,7 +108,7 @@
 
   /** Starts or stops leading, plans, and sends the commands that are due. */
   public void tick() {
-    List<GroupLeader.Addressed> due = advance(clock.instant());
+    List<GroupLeader.AddressedCommand> due = advance(clock.instant());
     due.forEach(addressed -> sender.send(addressed.rank(), toWire(addressed.command())));
   }
 
@@ -153,7 +153,7 @@
     }
   }
 
-  private synchronized List<GroupLeader.Addressed> advance(Instant now) {
+  private synchronized List<GroupLeader.AddressedCommand> advance(Instant now) {
     if (!elected.getAsBoolean()) {
       leader = null;
       return List.of();
@@ -162,7 +162,7 @@
       // Two entries that both hold themselves elected would depose each other without end. The
       // back-off gives the wrong one time to learn of the other.
       leader = null;
-      earliestLeadAt = now.plus(options.holdFor());
+      earliestLeadAt = now.plus(options.holdTimeout());
     }
     if (leader == null && !now.isBefore(earliestLeadAt)) {
       long epoch = GroupEpoch.next(highestSeenEpoch, processIncarnation);
--- a/entry/src/main/java/dev/ibishub/entry/OrderSender.java
+++ b/entry/src/main/java/dev/ibishub/entry/OrderSender.java
@@ -32,7 +32,7 @@
   }
 
   @Override
-  public CompletableFuture<Void> give(String target, String order, String operator) {
+  public CompletableFuture<Void> send(String target, String order, String operator) {
     OrderRequest request =
         OrderRequest.newBuilder()
             .setOrderId(UUID.randomUUID().toString())
--- a/entry/src/main/java/dev/ibishub/entry/PeerLinks.java
+++ b/entry/src/main/java/dev/ibishub/entry/PeerLinks.java
@@ -53,7 +53,7 @@
 
   /** Connects to the entries that the membership selects and that have no open link. */
   void connectAll() {
-    membership.connectTo().stream()
+    membership.membersToLink().stream()
         .filter(member -> member.role() == MemberRole.ENTRY)
         .filter(member -> links.stream().noneMatch(link -> isLinkTo(link, member)))
         .filter(member -> connecting.add(member.id()))
@@ -77,7 +77,7 @@
   @Override
   public void onOpen(Link link) {
     links.add(link);
-    membership.heard(link.peer().processId(), link.peer().incarnation(), clock.instant());
+    membership.recordContact(link.peer().processId(), link.peer().incarnation(), clock.instant());
     link.offer(membershipDigest());
     link.offer(configurationDigest());
     link.offer(Frame.newBuilder().setUsageReport(allUsage()).build());
@@ -89,7 +89,8 @@
       case MEMBERSHIP_DIGEST -> onMembership(link, frame.getMembershipDigest());
       case CONFIGURATION_DIGEST -> onConfigurationDigest(link, frame.getConfigurationDigest());
       case CONFIGURATION_TRANSFER ->
-          configuration.offer(frame.getConfigurationTransfer().getSnapshot().toByteArray());
+          configuration.acceptPeerSnapshot(
+              frame.getConfigurationTransfer().getSnapshot().toByteArray());
       case USAGE_REPORT -> onUsage(frame.getUsageReport());
       default -> {
         // Frames of other kinds, such as those of a newer release, are ignored.
@@ -100,7 +101,7 @@
   @Override
   public void onClose(Link link) {
     links.remove(link);
-    membership.missed(link.peer().processId(), clock.instant());
+    membership.recordFailedProbe(link.peer().processId(), clock.instant());
   }
 
   private void connect(MemberRecord member) {
@@ -110,7 +111,7 @@
             (link, failure) -> {
               connecting.remove(member.id());
               if (failure != null) {
-                membership.missed(member.id(), clock.instant());
+                membership.recordFailedProbe(member.id(), clock.instant());
               }
             });
   }
@@ -122,7 +123,7 @@
   private void onMembership(Link link, MembershipDigest digest) {
     membership.merge(
         digest.getMembersList().stream().map(MemberConverter::fromWire).toList(), clock.instant());
-    membership.heard(link.peer().processId(), link.peer().incarnation(), clock.instant());
+    membership.recordContact(link.peer().processId(), link.peer().incarnation(), clock.instant());
   }
 
   private void onConfigurationDigest(Link link, ConfigurationDigest digest) {
@@ -134,7 +135,7 @@
           Frame.newBuilder()
               .setConfigurationTransfer(
                   ConfigurationTransfer.newBuilder()
-                      .setSnapshot(ByteString.copyFrom(configuration.transfer())))
+                      .setSnapshot(ByteString.copyFrom(configuration.encodeSnapshot())))
               .build());
     }
   }
--- a/entry/src/main/java/dev/ibishub/entry/RequestRunner.java
+++ b/entry/src/main/java/dev/ibishub/entry/RequestRunner.java
@@ -11,7 +11,7 @@
 import dev.ibishub.core.RouteQuery;
 import dev.ibishub.runtime.LogEvent;
 import dev.ibishub.wire.AnswerEnds;
-import dev.ibishub.wire.ClaimHolder;
+import dev.ibishub.wire.ClaimHolderHeader;
 import dev.ibishub.wire.Link;
 import dev.ibishub.wire.generated.Attach;
 import dev.ibishub.wire.generated.Cancel;
@@ -203,7 +203,7 @@
                         .setCredit(CREDIT_WINDOW_CHUNKS))
                 .build());
     if (!sent) {
-      tracker.neverSent(attemptId, ResultCode.TARGET_UNREACHABLE);
+      tracker.recordNotSent(attemptId, ResultCode.TARGET_UNREACHABLE);
       closeAttempt(true);
     }
     return sent;
@@ -253,8 +253,8 @@
       return;
     }
     retryAt = last == null ? Optional.empty() : last.retryAt();
-    if (last != null && ClaimHolder.of(last).isPresent()) {
-      redirectToClaimHolder(ClaimHolder.of(last).get());
+    if (last != null && ClaimHolderHeader.holderOf(last).isPresent()) {
+      redirectToClaimHolder(ClaimHolderHeader.holderOf(last).get());
       return;
     }
     excludedTargets.add(target);
--- a/entry/src/main/java/dev/ibishub/entry/TargetLinks.java
+++ b/entry/src/main/java/dev/ibishub/entry/TargetLinks.java
@@ -63,7 +63,7 @@
 
   /** Connects to the agents that the membership selects and that have no open link. */
   void connectAll() {
-    membership.connectTo().stream()
+    membership.membersToLink().stream()
         .filter(member -> member.role() == MemberRole.AGENT)
         .forEach(this::connect);
   }
@@ -121,7 +121,7 @@
   public void onOpen(Link link) {
     String target = link.peer().processId();
     links.put(target, link);
-    membership.heard(target, link.peer().incarnation(), clock.instant());
+    membership.recordContact(target, link.peer().incarnation(), clock.instant());
     logger.atInfo().log("%s", LogEvent.of("target.linked").with("target", target));
   }
 
@@ -148,7 +148,7 @@
     if (links.remove(target, link)) {
       router.remove(target);
       reports.remove(target);
-      membership.missed(target, clock.instant());
+      membership.recordFailedProbe(target, clock.instant());
       logger.atInfo().log("%s", LogEvent.of("target.lost").with("target", target));
     }
     attempts.values().stream()
@@ -167,7 +167,7 @@
             (link, failure) -> {
               connecting.remove(member.id());
               if (failure != null) {
-                membership.missed(member.id(), clock.instant());
+                membership.recordFailedProbe(member.id(), clock.instant());
               }
             });
   }
@@ -178,9 +178,9 @@
 
   private void onReport(Link link, TargetReport report) {
     Instant now = clock.instant();
-    membership.heard(report.getTarget(), link.peer().incarnation(), now);
+    membership.recordContact(report.getTarget(), link.peer().incarnation(), now);
     if (report.getLeaving()) {
-      membership.leaving(report.getTarget(), now);
+      membership.markLeaving(report.getTarget(), now);
     }
     reports.put(report.getTarget(), report);
     router.report(
--- a/entry/src/test/java/dev/ibishub/entry/GroupControllerTest.java
+++ b/entry/src/test/java/dev/ibishub/entry/GroupControllerTest.java
@@ -72,7 +72,7 @@
     controller.tick();
     assertThat(sent).isEmpty();
 
-    now = now.plus(GroupLeaderOptions.defaults().holdFor());
+    now = now.plus(GroupLeaderOptions.defaults().holdTimeout());
     controller.tick();
     assertThat(sent.peek().getEpoch()).isGreaterThan(highestEpochAtRank);
   }
--- a/entry/src/test/java/dev/ibishub/entry/RequestRunnerTest.java
+++ b/entry/src/test/java/dev/ibishub/entry/RequestRunnerTest.java
@@ -15,7 +15,7 @@
 import dev.ibishub.core.Router;
 import dev.ibishub.core.RouterOptions;
 import dev.ibishub.wire.AnswerEnds;
-import dev.ibishub.wire.ClaimHolder;
+import dev.ibishub.wire.ClaimHolderHeader;
 import dev.ibishub.wire.generated.Dispatch;
 import dev.ibishub.wire.generated.End;
 import dev.ibishub.wire.generated.Frame;
@@ -248,7 +248,7 @@
   }
 
   private static End heldBy(String attemptId, ProcessIncarnation holder) {
-    AnswerEnd end = ClaimHolder.end(holder);
+    AnswerEnd end = ClaimHolderHeader.alreadyRunning(holder);
     return AnswerEnds.toWire(attemptId, end);
   }
 
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/ClockFencingTokens.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/ClockFencingTokens.java
@@ -1,6 +1,6 @@
 package dev.ibishub.gateway.experts;
 
-import dev.ibishub.core.ranks.TokenSource;
+import dev.ibishub.core.ranks.FencingTokenSource;
 import java.time.InstantSource;
 
 /**
@@ -11,13 +11,13 @@
  * <p>Used on the platform of ibishub's users; the counterpart behind ibishub's own interface is
  * {@code dev.ibishub.agent.FencingTokens}.
  */
-final class ClockFencingTokens implements TokenSource {
+final class ClockFencingTokens implements FencingTokenSource {
   /**
    * Number of leaders that can each begin a switch in the same millisecond with different tokens.
    */
   private static final long SALT_COUNT = 64;
 
-  private static final long TOKENS_PER_MILLI = SALT_COUNT * PER_SWITCH;
+  private static final long TOKENS_PER_MILLI = SALT_COUNT * TOKENS_PER_SWITCH;
 
   /**
    * How far a leader advances its tokens after the first refusal, milliseconds; doubles each time.
@@ -43,13 +43,14 @@
 
   @Override
   public synchronized long next() {
-    long tokenOfNow = (clock.millis() + advanceMillis) * TOKENS_PER_MILLI + salt * PER_SWITCH;
+    long tokenOfNow =
+        (clock.millis() + advanceMillis) * TOKENS_PER_MILLI + salt * TOKENS_PER_SWITCH;
     lastToken = Math.max(lastToken + TOKENS_PER_MILLI, tokenOfNow);
     return lastToken;
   }
 
   @Override
-  public synchronized void outbid() {
+  public synchronized void onHigherTokenSeen() {
     advanceMillis += nextAdvanceMillis;
     nextAdvanceMillis *= 2;
   }
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/ExpertController.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/ExpertController.java
@@ -104,7 +104,7 @@
               membership.group(),
               membership.size(),
               profile.get(),
-              () -> longestPauseMillis(target.get().service()),
+              () -> pauseObjectiveMillis(target.get().service()),
               orderSender,
               tokens,
               clock,
@@ -136,7 +136,7 @@
 
   private Optional<Target> engineAt(String host) {
     return targets.atHost(host).stream()
-        .map(TargetDirectory.Known::target)
+        .map(TargetDirectory.ListedTarget::target)
         .filter(target -> profile(target).isPresent())
         .findFirst();
   }
@@ -145,7 +145,7 @@
    * Returns the shortest of the pauses that the routes to a service allow. Computed once for each
    * configuration: groups ask each time they may plan a map, and there may be thousands of routes.
    */
-  private long longestPauseMillis(String service) {
+  private long pauseObjectiveMillis(String service) {
     long version = configuration.get().map(ServingConfiguration::version).orElse(NO_VERSION);
     if (version != pausesConfigurationVersion) {
       pausesConfigurationVersion = version;
@@ -158,12 +158,12 @@
     return configuration.get().stream()
         .flatMap(each -> each.routesByHost().values().stream())
         .flatMap(List::stream)
-        .filter(route -> route.longestPauseMillis() > 0)
+        .filter(route -> route.pauseObjectiveMillis() > 0)
         .filter(
             route ->
                 route.destinations().stream()
                     .anyMatch(destination -> destination.service().equals(service)))
-        .mapToLong(Route::longestPauseMillis)
+        .mapToLong(Route::pauseObjectiveMillis)
         .min()
         .orElse(DEFAULT_PAUSE_MILLIS);
   }
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/GroupRebalancer.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/GroupRebalancer.java
@@ -2,14 +2,14 @@
 
 import com.google.common.flogger.FluentLogger;
 import dev.ibishub.core.ranks.ExpertDemand;
+import dev.ibishub.core.ranks.FencingTokenSource;
 import dev.ibishub.core.ranks.GroupMap;
-import dev.ibishub.core.ranks.MapEconomy;
+import dev.ibishub.core.ranks.MapCostModel;
 import dev.ibishub.core.ranks.MapSwitch;
 import dev.ibishub.core.ranks.PlacementLimits;
 import dev.ibishub.core.ranks.PlacementPlanner;
 import dev.ibishub.core.ranks.RankCommand;
 import dev.ibishub.core.ranks.RankView;
-import dev.ibishub.core.ranks.TokenSource;
 import dev.ibishub.gateway.model.EngineProfile;
 import dev.ibishub.gateway.model.Target;
 import dev.ibishub.runtime.LogEvent;
@@ -78,7 +78,7 @@
   private final String group;
   private final int size;
   private final EngineProfile profile;
-  private final LongSupplier longestPauseMillis;
+  private final LongSupplier pauseObjectiveMillis;
   private final RankOrderSender orderSender;
   private final InstantSource clock;
   private final Object lock;
@@ -100,16 +100,16 @@
       String group,
       int size,
       EngineProfile profile,
-      LongSupplier longestPauseMillis,
+      LongSupplier pauseObjectiveMillis,
       RankOrderSender orderSender,
-      TokenSource tokens,
+      FencingTokenSource tokens,
       InstantSource clock,
       Map<String, RankEngine.HeldMap> heldByHost,
       Object lock) {
     this.group = group;
     this.size = size;
     this.profile = profile;
-    this.longestPauseMillis = longestPauseMillis;
+    this.pauseObjectiveMillis = pauseObjectiveMillis;
     this.orderSender = orderSender;
     this.clock = clock;
     this.heldByHost = heldByHost;
@@ -169,11 +169,12 @@
       return;
     }
     double[] slowness = slowness();
-    if (current.get().skew(tokens, slowness) < profile.startSkew(longestPauseMillis.getAsLong())) {
+    if (current.get().skew(tokens, slowness)
+        < profile.startSkew(pauseObjectiveMillis.getAsLong())) {
       return;
     }
     Optional<PlacementPlanner.Plan> plan =
-        PlacementPlanner.plan(current.get(), tokens, slowness, limits(), economy());
+        PlacementPlanner.plan(current.get(), tokens, slowness, limits(), costModel());
     if (plan.isEmpty()) {
       return;
     }
@@ -182,7 +183,7 @@
     plannedMap = Optional.of(plan.get().map());
     plannedVersion = version;
     switchStartedAt = now;
-    expectedCopyMillis = (long) (plan.get().fetchesOfARank() * profile.fetchMillis());
+    expectedCopyMillis = (long) (plan.get().mostFetchesByOneRank() * profile.fetchMillis());
     mapSwitch.start(version, now);
     logger.atInfo().log(
         "%s",
@@ -204,14 +205,17 @@
   }
 
   private PlacementLimits limits() {
-    int newPerSet = Math.max(1, profile.newPerSet());
+    int maximumFetchesPerSet = Math.max(1, profile.maximumFetchesPerSet());
     return new PlacementLimits(
-        profile.placesPerRank(), newPerSet, newPerSet * profile.layers(), GOOD_SKEW);
+        profile.placesPerRank(),
+        maximumFetchesPerSet,
+        maximumFetchesPerSet * profile.layers(),
+        GOOD_SKEW);
   }
 
-  private MapEconomy economy() {
-    return new MapEconomy(
-        profile::passLength,
+  private MapCostModel costModel() {
+    return new MapCostModel(
+        profile::relativePassDuration,
         profile.fetchMillis(),
         switchMillis,
         COPYING_SLOWDOWN,
@@ -263,7 +267,7 @@
             command.kind() == RankCommand.Kind.PREPARE
                 ? plannedMap.map(GroupMap::experts)
                 : Optional.empty());
-    orderSender.give(target, order).thenAccept(result -> onResult(command, result));
+    orderSender.send(target, order).thenAccept(result -> onResult(command, result));
   }
 
   private void onResult(RankCommand command, RankOrder.Result result) {
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/LoadRelay.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/LoadRelay.java
@@ -69,7 +69,7 @@
    * Takes reports that another collector sent to all entries. Equivalent own reports are not sent
    * any more, so each entry receives a report once, from the collector that was first.
    */
-  public void onTold(LoadReports reports, long now) {
+  public void onPeerReports(LoadReports reports, long now) {
     reports
         .getReportsList()
         .forEach(message -> onPeerReport(message.getHost(), report(message, now)));
@@ -119,22 +119,22 @@
             .setRequests(report.requests())
             .setClosed(!report.isOpen())
             .setAgeMillis((int) Math.max(0, now - report.measuredAt()));
-    if (report.pace() != 1) {
-      message.setPace((float) report.pace());
+    if (report.slowdown() != 1) {
+      message.setPace((float) report.slowdown());
     }
     report.group().ifPresent(group -> message.setGroup(group.name()).setEpoch(group.epoch()));
     return message.build();
   }
 
   private static TargetReport report(LoadReport message, long now) {
-    double pace = message.hasPace() ? message.getPace() : 1;
+    double slowdown = message.hasPace() ? message.getPace() : 1;
     return new TargetReport(
         message.getRequests(),
-        pace,
+        slowdown,
         !message.getClosed(),
         now - message.getAgeMillis(),
         message.hasGroup()
-            ? Optional.of(new TargetReport.GroupWord(message.getGroup(), message.getEpoch()))
+            ? Optional.of(new TargetReport.GroupMembership(message.getGroup(), message.getEpoch()))
             : Optional.empty());
   }
 }
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/RankAgent.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/RankAgent.java
@@ -54,7 +54,7 @@
   private static final long TIMER_SLACK_MILLIS = 15;
 
   private final RankEngine engine;
-  private final Runnable requestLook;
+  private final Runnable requestPoll;
   private final Set<Link> links = ConcurrentHashMap.newKeySet();
   private final List<Watcher> watchers = new CopyOnWriteArrayList<>();
   private final AtomicBoolean isReadingState = new AtomicBoolean();
@@ -89,15 +89,15 @@
    * Creates an agent without links.
    *
    * @param engine the engine of the target
-   * @param requestLook called when {@link #look} is due at once
+   * @param requestPoll called when {@link #poll} is due at once
    */
-  public RankAgent(RankEngine engine, Runnable requestLook) {
+  public RankAgent(RankEngine engine, Runnable requestPoll) {
     this.engine = engine;
-    this.requestLook = requestLook;
+    this.requestPoll = requestPoll;
   }
 
   /** Reads from the engine what is due, and reports it to the entries. */
-  public void look() {
+  public void poll() {
     long now = MonotonicClock.millis();
     readState();
     if (now - lastPicksAt >= PICKS_MILLIS - TIMER_SLACK_MILLIS) {
@@ -106,8 +106,8 @@
     }
   }
 
-  /** Returns the delay until the next call of {@link #look}, milliseconds. */
-  public long untilNextLookMillis() {
+  /** Returns the delay until the next call of {@link #poll}, milliseconds. */
+  public long untilNextPollMillis() {
     long now = MonotonicClock.millis();
     boolean isAwaiting = pendingEffect.map(effect -> now <= effect.expiresAt()).orElse(false);
     return isAwaiting ? EFFECT_POLL_MILLIS : REPORT_MILLIS;
@@ -149,7 +149,7 @@
       link.offer(RankMessages.report(known));
     }
     // An entry that has just started knows no loads until the first report arrives.
-    requestLook.run();
+    requestPoll.run();
   }
 
   @Override
@@ -175,7 +175,7 @@
     if (isNew) {
       // A leader that has just taken over needs the state and the map before it can act.
       reportedMapVersion = -1;
-      requestLook.run();
+      requestPoll.run();
     }
   }
 
@@ -191,7 +191,7 @@
                     Optional.of(
                         new PendingEffect(order, MonotonicClock.millis() + EFFECT_TIMEOUT_MILLIS));
               }
-              requestLook.run();
+              requestPoll.run();
             });
   }
 
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/RankOrderSender.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/RankOrderSender.java
@@ -11,5 +11,5 @@
    *
    * @return the outcome; never completes exceptionally
    */
-  CompletableFuture<RankOrder.Result> give(Target target, RankOrder order);
+  CompletableFuture<RankOrder.Result> send(Target target, RankOrder order);
 }
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/RankPaths.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/RankPaths.java
@@ -60,7 +60,7 @@
   }
 
   @Override
-  public CompletableFuture<RankOrder.Result> give(Target target, RankOrder order) {
+  public CompletableFuture<RankOrder.Result> send(Target target, RankOrder order) {
     Optional<CompletableFuture<RankOrder.Result>> viaAgent =
         unansweredHosts.contains(target.host())
             ? Optional.empty()
@@ -75,7 +75,7 @@
    *
    * @param hosts IP numbers of the engines
    */
-  public void lookAround(Set<String> hosts, long now) {
+  public void pollUnlinked(Set<String> hosts, long now) {
     hosts.stream()
         .filter(host -> !links.isLinked(host))
         .filter(host -> now >= nextPollAt.getOrDefault(host, 0L))
--- a/gateway/src/main/java/dev/ibishub/gateway/experts/RankState.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/experts/RankState.java
@@ -28,7 +28,7 @@
         slowdown,
         isOpen(),
         now,
-        membership.map(place -> new TargetReport.GroupWord(place.group(), place.epoch())));
+        membership.map(place -> new TargetReport.GroupMembership(place.group(), place.epoch())));
   }
 
   /**
--- a/gateway/src/main/java/dev/ibishub/gateway/front/AttemptRelay.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/AttemptRelay.java
@@ -34,7 +34,7 @@
   private final ByteArrayOutputStream buffered = new ByteArrayOutputStream();
   private final EventSplitter splitter = new EventSplitter();
   private TargetCall call;
-  private TargetAnswer response;
+  private TargetResponse response;
   private HttpHeaders headers;
   private boolean isPassingThrough;
   private boolean isOver;
@@ -49,7 +49,7 @@
     OptionalLong lastEventId();
 
     /** Called first, when the intended target starts to respond, whatever the status. */
-    void onResponse(TargetAnswer response);
+    void onResponse(TargetResponse response);
 
     /** Called with a complete response, in place of the calls below. */
     void onWholeResponse(int status, HttpHeaders headers, byte[] body);
--- a/gateway/src/main/java/dev/ibishub/gateway/front/CrashWatch.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/CrashDetector.java
@@ -1,9 +1,9 @@
 package dev.ibishub.gateway.front;
 
 import com.google.common.flogger.FluentLogger;
-import dev.ibishub.core.serving.CrashBlame;
 import dev.ibishub.core.serving.CrashedRun;
 import dev.ibishub.core.serving.RequestIdentity;
+import dev.ibishub.core.serving.RequestQuarantine;
 import dev.ibishub.runtime.LogEvent;
 import dev.ibishub.runtime.MonotonicClock;
 import dev.ibishub.wire.generated.CrashReport;
@@ -31,13 +31,13 @@
  * ended. A crash after which the target's host does not respond at all is detected later, when the
  * target announces itself after a restart.
  */
-public final class CrashWatch {
+public final class CrashDetector {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   /** Connect timeout, milliseconds; connecting usually takes 1 to 5. */
   private static final int CONNECT_TIMEOUT_MILLIS = 100;
 
-  private final CrashBlame blame = new CrashBlame();
+  private final RequestQuarantine quarantine = new RequestQuarantine();
   private final Consumer<Frame> broadcast;
 
   /**
@@ -45,18 +45,18 @@
    *
    * @param broadcast sends a message to all linked entries
    */
-  public CrashWatch(Consumer<Frame> broadcast) {
+  public CrashDetector(Consumer<Frame> broadcast) {
     this.broadcast = broadcast;
   }
 
   /** Whether a request is quarantined, so that it must not be sent to any target. */
   boolean isQuarantined(Supplier<RequestIdentity> request, long now) {
-    return blame.suspectsAny() && blame.isQuarantined(request.get(), now);
+    return quarantine.suspectsAny() && quarantine.isQuarantined(request.get(), now);
   }
 
   /** Returns how many crashes in a row a request is suspected of. */
   int crashes(RequestIdentity request) {
-    return blame.crashes(request);
+    return quarantine.crashes(request);
   }
 
   /**
@@ -67,7 +67,7 @@
    * @param next called on the loop after the check
    */
   void onBroken(EventLoop loop, CrashedRun run, InetSocketAddress address, Runnable next) {
-    publish(blame.onBroken(run));
+    publish(quarantine.onBroken(run));
     new Bootstrap()
         .group(loop)
         .channel(NioSocketChannel.class)
@@ -78,7 +78,7 @@
             (ChannelFuture connected) -> {
               connected.channel().close();
               if (isRefused(connected.cause())) {
-                onLifeEnded(run.targetLife());
+                onIncarnationEnded(run.targetIncarnation());
               }
               loop.execute(next);
             });
@@ -86,22 +86,22 @@
 
   /** Notes that a run was abandoned because its target went silent. */
   void onSilent(CrashedRun run) {
-    publish(blame.onBroken(run));
+    publish(quarantine.onBroken(run));
   }
 
   /** Notes that a target completed a request, which clears it of suspicion. */
   void onCompleted(Supplier<RequestIdentity> request) {
-    if (blame.suspectsAny() && blame.onCompleted(request.get())) {
+    if (quarantine.suspectsAny() && quarantine.onCompleted(request.get())) {
       broadcast.accept(CrashMessages.clearedFrame(request.get()));
     }
   }
 
   /**
-   * Notes that a target's life ended without notice; see {@link
-   * dev.ibishub.gateway.model.Target#life}.
+   * Notes that a target's incarnation ended without notice; see {@link
+   * dev.ibishub.gateway.model.Target#incarnation}.
    */
-  public void onLifeEnded(String targetLife) {
-    publish(blame.onCrashed(targetLife));
+  public void onIncarnationEnded(String targetIncarnation) {
+    publish(quarantine.onCrashed(targetIncarnation));
   }
 
   /**
@@ -109,18 +109,18 @@
    *
    * @return whether any of it was new, so that other entries may not have it yet
    */
-  public boolean onTold(CrashReport report) {
+  public boolean onReport(CrashReport report) {
     long now = MonotonicClock.millis();
     List<CrashedRun> runs =
         report.getRunsList().stream()
             .map(message -> CrashMessages.toRun(message, now))
-            .filter(blame::onTold)
+            .filter(quarantine::onReport)
             .toList();
     runs.forEach(run -> log("crash.told", run));
     long cleared =
         report.getClearedList().stream()
             .map(RequestIdentity::new)
-            .filter(blame::onCompleted)
+            .filter(quarantine::onCompleted)
             .count();
     return !runs.isEmpty() || cleared > 0;
   }
@@ -130,7 +130,7 @@
    * none.
    */
   public Optional<Frame> snapshot() {
-    List<CrashedRun> all = blame.all();
+    List<CrashedRun> all = quarantine.all();
     return all.isEmpty()
         ? Optional.empty()
         : Optional.of(CrashMessages.crashedFrame(all, MonotonicClock.millis()));
@@ -149,9 +149,9 @@
         "%s",
         LogEvent.of(event)
             .with("identity", run.request().digest())
-            .with("target_life", run.targetLife())
+            .with("target_life", run.targetIncarnation())
             .with("ran_ms", run.brokenAt() - run.sentAt())
-            .with("crashes", blame.crashes(run.request())));
+            .with("crashes", quarantine.crashes(run.request())));
   }
 
   private static boolean isRefused(Throwable cause) {
--- a/gateway/src/main/java/dev/ibishub/gateway/front/CrashMessages.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/CrashMessages.java
@@ -35,7 +35,7 @@
   private static BrokenRun message(CrashedRun run, long now) {
     return BrokenRun.newBuilder()
         .setRequest(run.request().digest())
-        .setTargetLife(run.targetLife())
+        .setTargetLife(run.targetIncarnation())
         .setSentAgeMillis(Math.max(0, now - run.sentAt()))
         .setBrokenAgeMillis(Math.max(0, now - run.brokenAt()))
         .build();
--- a/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/Exchange.java
@@ -4,7 +4,7 @@
 import dev.ibishub.core.serving.AttemptOutcome;
 import dev.ibishub.core.serving.CrashedRun;
 import dev.ibishub.core.serving.RequestIdentity;
-import dev.ibishub.core.serving.ReturnAdvice;
+import dev.ibishub.core.serving.RetryAdvice;
 import dev.ibishub.core.serving.TargetChoice;
 import dev.ibishub.core.serving.TargetLoad;
 import dev.ibishub.gateway.model.EngineProfile;
@@ -120,8 +120,7 @@
     if (configuration.isEmpty()) {
       long sinceStart = arrivedAt - context.startedAt();
       refuse(
-          ResultCode.NOT_READY,
-          ReturnAdvice.whileStarting(sinceStart, caller.waitMillis(), random));
+          ResultCode.NOT_READY, RetryAdvice.whileStarting(sinceStart, caller.waitMillis(), random));
       return;
     }
     Routing found = Routing.of(configuration.get(), request, caller, arrivedAt, random);
@@ -131,7 +130,7 @@
       return;
     }
     routed = (Routing.Routed) found;
-    if (context.stop().mayCut(routed.deadline())) {
+    if (context.stop().mayInterrupt(routed.deadline())) {
       refuse(ResultCode.ENTRY_LEAVING, LEAVING_RETRY_MILLIS);
       return;
     }
@@ -195,14 +194,15 @@
       onDeadline();
       return;
     }
-    List<TargetDirectory.Known> usable = context.targets().usable(routed.service());
-    List<TargetLoad> loads = usable.stream().map(TargetDirectory.Known::load).toList();
+    List<TargetDirectory.ListedTarget> usable = context.targets().usable(routed.service());
+    List<TargetLoad> loads = usable.stream().map(TargetDirectory.ListedTarget::load).toList();
     if (TargetChoice.areForming(loads, now) && mayWaitForGroup(now)) {
       loop.schedule(this::sendUnlessOver, FORMING_CHECK_MILLIS, TimeUnit.MILLISECONDS);
       return;
     }
     boolean isClosed = TargetChoice.areClosed(loads, now);
-    Optional<TargetDirectory.Known> chosen = isClosed ? Optional.empty() : choose(usable, now);
+    Optional<TargetDirectory.ListedTarget> chosen =
+        isClosed ? Optional.empty() : choose(usable, now);
     if (chosen.isEmpty()) {
       onNoTarget(loads, isClosed, now);
       return;
@@ -218,18 +218,20 @@
 
   /** Whether the wait for a group that is about to open may go on. */
   private boolean mayWaitForGroup(long now) {
-    long forming = routed.engine().map(EngineProfile::formingMillis).orElse(0L);
-    long patience = Math.min(forming, (routed.deadline() - arrivedAt) / FORMING_WAIT_DIVISOR);
+    long formationTimeoutMillis =
+        routed.engine().map(EngineProfile::formationTimeoutMillis).orElse(0L);
+    long patience =
+        Math.min(formationTimeoutMillis, (routed.deadline() - arrivedAt) / FORMING_WAIT_DIVISOR);
     groupWaitUntil = Math.min(groupWaitUntil, now + patience);
     return now < groupWaitUntil;
   }
 
-  private void startAttempt(TargetDirectory.Known target, long now) {
+  private void startAttempt(TargetDirectory.ListedTarget target, long now) {
     log.onTarget(target);
     tried.add(target.target().id());
     sends++;
     target.load().onSent(now);
-    context.targetLimits().onSent(routed.service(), target.target().life(), now);
+    context.targetLimits().onSent(routed.service(), target.target().incarnation(), now);
     Attempt attempt = new Attempt(target, now);
     attempts.add(attempt);
     attempt.relay =
@@ -244,7 +246,8 @@
    */
   private void sendHedge() {
     long now = MonotonicClock.millis();
-    Optional<TargetDirectory.Known> other = choose(context.targets().usable(routed.service()), now);
+    Optional<TargetDirectory.ListedTarget> other =
+        choose(context.targets().usable(routed.service()), now);
     if (other.isPresent() && tryTakeRetry(AttemptOutcome.BROKEN, runs + attempts.size(), now)) {
       startAttempt(other.get(), now);
     }
@@ -257,26 +260,29 @@
         && context.budgets().tryRetry(routed.service(), now);
   }
 
-  private Optional<TargetDirectory.Known> choose(List<TargetDirectory.Known> usable, long now) {
+  private Optional<TargetDirectory.ListedTarget> choose(
+      List<TargetDirectory.ListedTarget> usable, long now) {
     double maximumRequests =
         routed
             .engine()
-            .map(profile -> profile.slots() + profile.waitingPlaces(routed.route().aimMillis()))
+            .map(
+                profile ->
+                    profile.slots() + profile.queueLimit(routed.route().latencyObjectiveMillis()))
             .map(Integer::doubleValue)
             .orElse(Double.MAX_VALUE);
     TargetChoice choice = new TargetChoice(context.entries().getAsInt(), maximumRequests);
-    List<TargetDirectory.Known> allowed =
+    List<TargetDirectory.ListedTarget> allowed =
         usable.stream()
-            .filter(target -> context.targetLimits().allows(target.target().life(), now))
+            .filter(target -> context.targetLimits().allows(target.target().incarnation(), now))
             .toList();
     return TargetDirectory.choose(choice, allowed, tried, context.targets().ownZone(), now);
   }
 
-  private FullHttpRequest requestFor(TargetDirectory.Known target, long now) {
+  private FullHttpRequest requestFor(TargetDirectory.ListedTarget target, long now) {
     FullHttpRequest copy = HopByHopHeaders.endToEndCopy(request);
     context
         .dialect()
-        .address(
+        .writeTargetHeaders(
             copy.headers(),
             new TargetRequest(
                 target.target().id(),
@@ -301,13 +307,13 @@
     if (loads.isEmpty()) {
       refuse(ResultCode.NO_TARGET, NO_TARGET_RETRY_MILLIS);
     } else if (isClosed) {
-      refuse(ResultCode.NO_TARGET, ReturnAdvice.whileClosed(left, random));
+      refuse(ResultCode.NO_TARGET, RetryAdvice.whileClosed(left, random));
     } else {
-      OptionalLong untilRested = TargetChoice.untilRested(loads, now);
+      OptionalLong millisUntilBackOffEnds = TargetChoice.millisUntilBackOffEnds(loads, now);
       refuse(
           ResultCode.OVERLOADED,
-          untilRested.isPresent()
-              ? ReturnAdvice.whileResting(untilRested.getAsLong(), left, random)
+          millisUntilBackOffEnds.isPresent()
+              ? RetryAdvice.whileBackingOff(millisUntilBackOffEnds.getAsLong(), left, random)
               : retryMillisWhenFull(random));
     }
   }
@@ -315,19 +321,19 @@
   private long retryMillisWhenFull(double random) {
     return routed
         .engine()
-        .map(profile -> ReturnAdvice.whenFull(profile.slotFreesMillis(), random))
-        .orElseGet(() -> ReturnAdvice.whenFull(random));
+        .map(profile -> RetryAdvice.whenFull(profile.slotWaitMillis(), random))
+        .orElseGet(() -> RetryAdvice.whenFull(random));
   }
 
   /** One attempt at one target, and the handling of its result. */
   private final class Attempt implements AttemptRelay.Listener {
-    private final TargetDirectory.Known target;
+    private final TargetDirectory.ListedTarget target;
     private final long sentAt;
     private AttemptRelay relay;
     private final SilenceMonitor silenceMonitor;
     private boolean isSilent;
 
-    Attempt(TargetDirectory.Known target, long sentAt) {
+    Attempt(TargetDirectory.ListedTarget target, long sentAt) {
       this.target = target;
       this.sentAt = sentAt;
       this.silenceMonitor =
@@ -365,7 +371,7 @@
      * the target may continue.
      */
     private void failOver(long now) {
-      Optional<TargetDirectory.Known> other =
+      Optional<TargetDirectory.ListedTarget> other =
           choose(context.targets().usable(routed.service()), now);
       if (other.isEmpty() || !tryTakeRetry(AttemptOutcome.BROKEN, runs + 1, now)) {
         return;
@@ -392,7 +398,7 @@
     }
 
     private CrashedRun brokenRun(long now) {
-      return new CrashedRun(identity(), target.target().life(), sentAt, now);
+      return new CrashedRun(identity(), target.target().incarnation(), sentAt, now);
     }
 
     private void endOthers() {
@@ -414,17 +420,19 @@
     }
 
     @Override
-    public void onResponse(TargetAnswer head) {
-      head.restMillis().ifPresent(this::onBackOffRequested);
+    public void onResponse(TargetResponse head) {
+      head.backOffMillis().ifPresent(this::onBackOffRequested);
       if (head.isLeaving()) {
         context.targets().onLeavingResponse(target);
       }
-      context.targetLimits().onResponse(target.target().life(), head.requestsPerSecond(), sentAt);
+      context
+          .targetLimits()
+          .onResponse(target.target().incarnation(), head.requestsPerSecond(), sentAt);
     }
 
     private void onBackOffRequested(long millis) {
       log.backOffRequested(target, millis);
-      target.load().onRestAsked(MonotonicClock.millis() + millis);
+      target.load().onBackOffRequested(MonotonicClock.millis() + millis);
     }
 
     @Override
@@ -432,7 +440,7 @@
       endOthers();
       long now = MonotonicClock.millis();
       timings.onPiece(now);
-      context.services().responseTimes(routed.service()).onGood(now - sentAt);
+      context.services().responseTimes(routed.service()).onSuccess(now - sentAt);
       onSuccess();
       response.writeWhole(status, headers, body);
       complete("ok");
@@ -522,13 +530,13 @@
     } else {
       refuse(
           ResultCode.TARGET_UNREACHABLE,
-          ReturnAdvice.whenFull(ThreadLocalRandom.current().nextDouble()));
+          RetryAdvice.whenFull(ThreadLocalRandom.current().nextDouble()));
     }
   }
 
   private void sendAgain(AttemptOutcome outcome) {
     long left = routed.deadline() - MonotonicClock.millis();
-    long pause = routed.retryRule().pauseMillis(outcome, sends, left);
+    long pause = routed.retryRule().retryDelayMillis(outcome, sends, left);
     if (pause == 0) {
       send();
       return;
@@ -555,7 +563,7 @@
       end(ResultCode.DEADLINE_PASSED_RUNNING, 0, cause);
     } else {
       double random = ThreadLocalRandom.current().nextDouble();
-      end(ResultCode.DEADLINE_UNREACHABLE, ReturnAdvice.whenFull(random), cause);
+      end(ResultCode.DEADLINE_UNREACHABLE, RetryAdvice.whenFull(random), cause);
     }
   }
 
--- a/gateway/src/main/java/dev/ibishub/gateway/front/ExchangeLog.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/ExchangeLog.java
@@ -21,7 +21,7 @@
   private String route = "";
   private String service = "";
   private long configurationVersion;
-  private TargetDirectory.Known target;
+  private TargetDirectory.ListedTarget target;
 
   ExchangeLog(String attemptId, long arrivedAt, IntSupplier entries) {
     this.attemptId = attemptId;
@@ -39,14 +39,14 @@
     }
   }
 
-  void onTarget(TargetDirectory.Known chosen) {
+  void onTarget(TargetDirectory.ListedTarget chosen) {
     target = chosen;
   }
 
   /**
    * Logs that a target refused the request, and for how long it wants no requests from this entry.
    */
-  void backOffRequested(TargetDirectory.Known refusing, long backOffMillis) {
+  void backOffRequested(TargetDirectory.ListedTarget refusing, long backOffMillis) {
     logger.atInfo().log(
         "%s",
         LogEvent.of("target.asks_rest")
@@ -55,18 +55,19 @@
             .with("rest_ms", backOffMillis));
   }
 
-  /** Logs a successful response that was later than its route aims for. */
+  /** Logs a successful response that was later than an objective of its route. */
   void logIfLate(Route matchedRoute, ResponseTimings timings, int sends) {
-    if (timings.isLate(matchedRoute.aimMillis(), matchedRoute.longestPauseMillis())) {
+    if (timings.isLate(
+        matchedRoute.latencyObjectiveMillis(), matchedRoute.pauseObjectiveMillis())) {
       ended(
           "request.late",
           ResultCode.OK,
           "first piece after %d ms of %d, longest pause %d ms of %d"
               .formatted(
                   timings.firstPieceMillis(),
-                  matchedRoute.aimMillis(),
+                  matchedRoute.latencyObjectiveMillis(),
                   timings.longestPauseMillis(),
-                  matchedRoute.longestPauseMillis()),
+                  matchedRoute.pauseObjectiveMillis()),
           sends);
     }
   }
--- a/gateway/src/main/java/dev/ibishub/gateway/front/LimitMessages.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/LimitMessages.java
@@ -1,6 +1,6 @@
 package dev.ibishub.gateway.front;
 
-import dev.ibishub.core.serving.LimitWord;
+import dev.ibishub.core.serving.LimitStatement;
 import dev.ibishub.wire.generated.Frame;
 import dev.ibishub.wire.generated.LimitReport;
 import dev.ibishub.wire.generated.TargetLimit;
@@ -20,17 +20,17 @@
    *
    * @param now the sender's time, milliseconds
    */
-  static Frame frame(List<LimitWord> limits, long now) {
+  static Frame frame(List<LimitStatement> limits, long now) {
     LimitReport.Builder report = LimitReport.newBuilder();
     limits.forEach(limit -> report.addLimits(message(limit, now)));
     return Frame.newBuilder().setLimitReport(report).build();
   }
 
-  private static TargetLimit message(LimitWord limit, long now) {
+  private static TargetLimit message(LimitStatement limit, long now) {
     TargetLimit.Builder message =
         TargetLimit.newBuilder()
-            .setTargetLife(limit.targetLife())
-            .setAgeMillis(Math.max(0, now - limit.saidAt()));
+            .setTargetLife(limit.targetIncarnation())
+            .setAgeMillis(Math.max(0, now - limit.statedAt()));
     limit.requestsPerSecond().ifPresent(message::setRequestsPerSecond);
     return message.build();
   }
@@ -40,14 +40,14 @@
    *
    * @param now the receiver's time, milliseconds
    */
-  static Stream<LimitWord> limits(LimitReport report, long now) {
+  static Stream<LimitStatement> limits(LimitReport report, long now) {
     return report.getLimitsList().stream()
         .filter(message -> message.getRequestsPerSecond() >= 0)
         .map(message -> toLimit(message, now));
   }
 
-  private static LimitWord toLimit(TargetLimit message, long now) {
-    return new LimitWord(
+  private static LimitStatement toLimit(TargetLimit message, long now) {
+    return new LimitStatement(
         message.getTargetLife(),
         message.hasRequestsPerSecond()
             ? OptionalDouble.of(message.getRequestsPerSecond())
--- a/gateway/src/main/java/dev/ibishub/gateway/front/RequestDialect.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/RequestDialect.java
@@ -10,11 +10,11 @@
  */
 public interface RequestDialect {
   /** Turns a caller's headers into those for a target, by changing {@code headers}. */
-  void address(HttpHeaders headers, TargetRequest request);
+  void writeTargetHeaders(HttpHeaders headers, TargetRequest request);
 
   /** Reads a caller's request line and headers. */
   CallerRequest read(HttpRequest request);
 
   /** Reads the status and headers of a target's response. */
-  TargetAnswer read(HttpResponse response);
+  TargetResponse read(HttpResponse response);
 }
--- a/gateway/src/main/java/dev/ibishub/gateway/front/ResponseTimings.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/ResponseTimings.java
@@ -38,9 +38,11 @@
     return longestPauseMillis;
   }
 
-  /** Whether the response was later than aimed for. Aims are milliseconds; 0 means none. */
-  boolean isLate(long aimMillis, long pauseAimMillis) {
-    return (aimMillis > 0 && firstPieceMillis() > aimMillis)
-        || (pauseAimMillis > 0 && longestPauseMillis > pauseAimMillis);
+  /**
+   * Whether the response was later than an objective. Objectives are milliseconds; 0 means none.
+   */
+  boolean isLate(long latencyObjectiveMillis, long pauseObjectiveMillis) {
+    return (latencyObjectiveMillis > 0 && firstPieceMillis() > latencyObjectiveMillis)
+        || (pauseObjectiveMillis > 0 && longestPauseMillis > pauseObjectiveMillis);
   }
 }
--- a/gateway/src/main/java/dev/ibishub/gateway/front/RetryBudgets.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/RetryBudgets.java
@@ -1,6 +1,6 @@
 package dev.ibishub.gateway.front;
 
-import dev.ibishub.core.entries.LargestSeen;
+import dev.ibishub.core.entries.SlidingMaximum;
 import dev.ibishub.core.serving.RetryLimits;
 import dev.ibishub.core.serving.SharedRetryBudget;
 import java.util.Map;
@@ -15,7 +15,7 @@
   private static final int ENTRY_COUNT_WINDOWS = 10;
 
   private final Map<String, SharedRetryBudget> byService = new ConcurrentHashMap<>();
-  private final LargestSeen entries;
+  private final SlidingMaximum entries;
   private final long allowanceFrom;
   private volatile RetryLimits limits;
 
@@ -29,7 +29,7 @@
   public RetryBudgets(RetryLimits limits, long startedAt, boolean isFirstStart) {
     this.limits = limits;
     this.allowanceFrom = isFirstStart ? startedAt : startedAt + limits.windowMillis();
-    this.entries = new LargestSeen(ENTRY_COUNT_WINDOWS * limits.windowMillis());
+    this.entries = new SlidingMaximum(ENTRY_COUNT_WINDOWS * limits.windowMillis());
   }
 
   /** Changes the limits of all budgets; requests and retries counted so far still count. */
--- a/gateway/src/main/java/dev/ibishub/gateway/front/Routing.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/Routing.java
@@ -83,7 +83,7 @@
     if (route.needsKey() && configuration.usesKeys() && workspace.isEmpty()) {
       return new Refused(configuration.version(), ResultCode.UNAUTHENTICATED);
     }
-    String service = route.destination(random);
+    String service = route.chooseService(random);
     long waitMillis = Math.min(route.timeoutMillis(), caller.waitMillis().orElse(Long.MAX_VALUE));
     return new Routed(
         configuration.version(),
--- a/gateway/src/main/java/dev/ibishub/gateway/front/ServiceWatch.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/ServiceStatistics.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /** Statistics of each service's responses, as this entry sees them. Thread-safe. */
-public final class ServiceWatch {
+public final class ServiceStatistics {
   private final Map<String, StreamProgress> streamProgress = new ConcurrentHashMap<>();
   private final Map<String, AnswerTimes> responseTimes = new ConcurrentHashMap<>();
 
--- a/gateway/src/main/java/dev/ibishub/gateway/front/SilenceMonitor.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/SilenceMonitor.java
@@ -18,7 +18,7 @@
   private static final long STREAM_CHECK_MILLIS = 150;
 
   private final EventLoop loop;
-  private final ServiceWatch services;
+  private final ServiceStatistics services;
   private final String service;
   private final Listener listener;
   private ScheduledFuture<?> timer;
@@ -36,7 +36,7 @@
    */
   record Listener(LongPredicate isQueueing, Runnable onHedgeDue, Runnable onStreamSilent) {}
 
-  SilenceMonitor(EventLoop loop, ServiceWatch services, String service, Listener listener) {
+  SilenceMonitor(EventLoop loop, ServiceStatistics services, String service, Listener listener) {
     this.loop = loop;
     this.services = services;
     this.service = service;
@@ -51,7 +51,7 @@
       // requests failed although the first target would have responded.
       services
           .responseTimes(service)
-          .silenceMillis(routed.route().aimMillis())
+          .hedgeDelayMillis(routed.route().latencyObjectiveMillis())
           .ifPresent(millis -> schedule(listener.onHedgeDue(), millis));
     } else if (routed.route().kind() == RequestKind.RESUMABLE_STREAM) {
       scheduleStreamCheck(sentAt);
@@ -77,9 +77,9 @@
 
   private void checkStream() {
     long now = MonotonicClock.millis();
-    OptionalLong movingSince = services.streamProgress(service).movingSince(now);
+    OptionalLong progressingSince = services.streamProgress(service).progressingSince(now);
     boolean mayBeQueued = listener.isQueueing().test(now);
-    if (SilenceRule.isLost(now, lastReceivedAt, hasReceivedPiece, mayBeQueued, movingSince)) {
+    if (SilenceRule.isLost(now, lastReceivedAt, hasReceivedPiece, mayBeQueued, progressingSince)) {
       listener.onStreamSilent().run();
     }
     if (!isStopped) {
--- a/gateway/src/main/java/dev/ibishub/gateway/front/StopPlan.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/StopPlan.java
@@ -12,5 +12,5 @@
    *
    * @param deadline when its response has to be complete, on the monotonic clock, milliseconds
    */
-  boolean mayCut(long deadline);
+  boolean mayInterrupt(long deadline);
 }
--- a/gateway/src/main/java/dev/ibishub/gateway/front/TargetDirectory.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/TargetDirectory.java
@@ -43,7 +43,7 @@
 
   /**
    * How long the load of a target is retained after its record is gone, milliseconds, as the same
-   * life of the target may announce itself again.
+   * incarnation of the target may announce itself again.
    */
   static final long LOAD_RETENTION_MILLIS = 600_000;
 
@@ -55,23 +55,23 @@
   static final long OUTAGE_MILLIS = 2_000;
 
   private final String ownZone;
-  private final Consumer<String> onLifeEnded;
-  private final Map<String, Known> known = new HashMap<>();
-  private final Map<String, RetainedLoad> retainedLoadsByLife = new HashMap<>();
-  private volatile Map<String, List<Known>> usableByService = Map.of();
-  private volatile Map<String, List<Known>> byHost = Map.of();
+  private final Consumer<String> onIncarnationEnded;
+  private final Map<String, ListedTarget> known = new HashMap<>();
+  private final Map<String, RetainedLoad> retainedLoadsByIncarnation = new HashMap<>();
+  private volatile Map<String, List<ListedTarget>> usableByService = Map.of();
+  private volatile Map<String, List<ListedTarget>> byHost = Map.of();
   private final Map<String, GroupOpenness> groups = new ConcurrentHashMap<>();
 
   /**
    * A target and its estimated load.
    *
    * @param target what it announced
-   * @param load its load; starts anew with each of its lives, that is, runs of its process
+   * @param load its load; starts anew with each of its incarnations, that is, runs of its process
    * @param usedUntil when it counts as gone, on the monotonic clock, milliseconds; {@link
    *     Long#MAX_VALUE} for a target with a current record
    * @param offset the position of its newest record among all records
    */
-  public record Known(Target target, TargetLoad load, long usedUntil, long offset) {
+  public record ListedTarget(Target target, TargetLoad load, long usedUntil, long offset) {
     /** Whether it takes no new requests, by its record or by one of its responses. */
     boolean isLeaving() {
       return target.leaving() || load.saysLeaving();
@@ -83,10 +83,10 @@
     }
 
     /**
-     * Returns the later of two lives at one address: by their start times if both are known and
-     * differ, else by their records.
+     * Returns the later of two incarnations at one address: by their start times if both are known
+     * and differ, else by their records.
      */
-    private static Known later(Known first, Known second) {
+    private static ListedTarget later(ListedTarget first, ListedTarget second) {
       long firstStarted = first.target.startedAtMillis();
       long secondStarted = second.target.startedAtMillis();
       boolean startsDiffer = firstStarted > 0 && secondStarted > 0 && firstStarted != secondStarted;
@@ -103,19 +103,19 @@
    * @param ownZone the failure domain of this process
    */
   public TargetDirectory(String ownZone) {
-    this(ownZone, life -> {});
+    this(ownZone, incarnation -> {});
   }
 
   /**
    * Creates an empty directory.
    *
    * @param ownZone the failure domain of this process
-   * @param onLifeEnded called with each life of a target that ended without notice, once its
-   *     successor at the same address is announced; see {@link Target#life}
+   * @param onIncarnationEnded called with each incarnation of a target that ended without notice,
+   *     once its successor at the same address is announced; see {@link Target#incarnation}
    */
-  public TargetDirectory(String ownZone, Consumer<String> onLifeEnded) {
+  public TargetDirectory(String ownZone, Consumer<String> onIncarnationEnded) {
     this.ownZone = ownZone;
-    this.onLifeEnded = onLifeEnded;
+    this.onIncarnationEnded = onIncarnationEnded;
   }
 
   public String ownZone() {
@@ -128,19 +128,19 @@
    * @param offset the position of the record among all records; later ones have higher positions
    */
   public synchronized void onAnnounced(Target target, long offset) {
-    Known before = known.get(target.id());
-    boolean isNewLife =
+    ListedTarget before = known.get(target.id());
+    boolean isNewIncarnation =
         before == null || target.startedAtMillis() > before.target().startedAtMillis();
-    if (!isNewLife && target.startedAtMillis() < before.target().startedAtMillis()) {
+    if (!isNewIncarnation && target.startedAtMillis() < before.target().startedAtMillis()) {
       return;
     }
-    TargetLoad load = isNewLife ? takeRetainedLoad(target.life()) : before.load();
-    Known announced = new Known(target, load, Long.MAX_VALUE, offset);
-    if (isNewLife) {
-      predecessors(announced).map(each -> each.target().life()).forEach(onLifeEnded);
+    TargetLoad load = isNewIncarnation ? takeRetainedLoad(target.incarnation()) : before.load();
+    ListedTarget announced = new ListedTarget(target, load, Long.MAX_VALUE, offset);
+    if (isNewIncarnation) {
+      predecessors(announced).map(each -> each.target().incarnation()).forEach(onIncarnationEnded);
     }
     known.put(target.id(), announced);
-    if (isNewLife || before.target().leaving() != target.leaving()) {
+    if (isNewIncarnation || before.target().leaving() != target.leaving()) {
       logger.atInfo().log(
           "%s",
           LogEvent.of("target.announced")
@@ -158,24 +158,24 @@
     }
   }
 
-  private TargetLoad takeRetainedLoad(String life) {
-    RetainedLoad retained = retainedLoadsByLife.remove(life);
+  private TargetLoad takeRetainedLoad(String incarnation) {
+    RetainedLoad retained = retainedLoadsByIncarnation.remove(incarnation);
     return retained == null ? new TargetLoad() : retained.load();
   }
 
   /**
    * Returns the targets that a successor replaced without their having said that they were leaving.
    */
-  private Stream<Known> predecessors(Known successor) {
+  private Stream<ListedTarget> predecessors(ListedTarget successor) {
     return known.values().stream()
         .filter(each -> each.address().equals(successor.address()))
         .filter(each -> each.target().service().equals(successor.target().service()))
         .filter(each -> !each.isLeaving())
-        .filter(each -> Known.later(each, successor).equals(successor));
+        .filter(each -> ListedTarget.later(each, successor).equals(successor));
   }
 
   /** Takes in that a target said in a response that it is leaving, whatever its record says. */
-  public synchronized void onLeavingResponse(Known leaving) {
+  public synchronized void onLeavingResponse(ListedTarget leaving) {
     if (leaving.load().saysLeaving()) {
       return;
     }
@@ -193,7 +193,7 @@
    * @param now the current time, milliseconds
    */
   public synchronized void onDropped(String id, long outageMillis, long now) {
-    Known before = known.get(id);
+    ListedTarget before = known.get(id);
     if (before == null) {
       return;
     }
@@ -206,7 +206,8 @@
     if (hasExpired) {
       known.put(
           id,
-          new Known(before.target(), before.load(), now + EXPIRED_GRACE_MILLIS, before.offset()));
+          new ListedTarget(
+              before.target(), before.load(), now + EXPIRED_GRACE_MILLIS, before.offset()));
       return;
     }
     drop(before, now);
@@ -215,28 +216,31 @@
 
   /** Drops targets whose grace period has ended, and loads that were retained long enough. */
   public synchronized void tick(long now) {
-    retainedLoadsByLife.values().removeIf(retained -> now - retained.at() > LOAD_RETENTION_MILLIS);
-    List<Known> expired = known.values().stream().filter(each -> each.usedUntil() <= now).toList();
+    retainedLoadsByIncarnation
+        .values()
+        .removeIf(retained -> now - retained.at() > LOAD_RETENTION_MILLIS);
+    List<ListedTarget> expired =
+        known.values().stream().filter(each -> each.usedUntil() <= now).toList();
     if (!expired.isEmpty()) {
       expired.forEach(each -> drop(each, now));
       updateIndexes();
     }
   }
 
-  private void drop(Known gone, long now) {
+  private void drop(ListedTarget gone, long now) {
     known.remove(gone.target().id());
-    retainedLoadsByLife.put(gone.target().life(), new RetainedLoad(gone.load(), now));
+    retainedLoadsByIncarnation.put(gone.target().incarnation(), new RetainedLoad(gone.load(), now));
   }
 
   /** Returns the targets of a service that take new requests; empty if there are none. */
-  public List<Known> usable(String service) {
+  public List<ListedTarget> usable(String service) {
     return usableByService.getOrDefault(service, List.of());
   }
 
   /** Chooses one of the usable targets of a service, as {@link TargetChoice} decides. */
-  static Optional<Known> choose(
-      TargetChoice choice, List<Known> usable, Set<String> tried, String ownZone, long now) {
-    List<Known> shuffled = new ArrayList<>(usable);
+  static Optional<ListedTarget> choose(
+      TargetChoice choice, List<ListedTarget> usable, Set<String> tried, String ownZone, long now) {
+    List<ListedTarget> shuffled = new ArrayList<>(usable);
     Collections.shuffle(shuffled, ThreadLocalRandom.current());
     List<TargetChoice.Candidate> candidates =
         shuffled.stream()
@@ -255,7 +259,7 @@
   }
 
   /** Returns all targets, also those that are leaving, sorted by id. */
-  public synchronized List<Known> all() {
+  public synchronized List<ListedTarget> all() {
     return known.values().stream()
         .sorted(Comparator.comparing(each -> each.target().id()))
         .toList();
@@ -271,7 +275,7 @@
                     groups.computeIfAbsent(reportedGroup.name(), key -> new GroupOpenness()));
     group.ifPresent(
         openness ->
-            openness.onWord(
+            openness.onReport(
                 report.group().orElseThrow().epoch(), report.isOpen(), report.measuredAt()));
     atHost(host)
         .forEach(
@@ -282,16 +286,16 @@
   }
 
   /** Returns the targets at an IP address; empty if there are none. */
-  public List<Known> atHost(String host) {
+  public List<ListedTarget> atHost(String host) {
     return byHost.getOrDefault(host, List.of());
   }
 
   private void updateIndexes() {
-    Collection<Known> current =
+    Collection<ListedTarget> current =
         known.values().stream()
-            .collect(Collectors.toMap(Known::address, each -> each, Known::later))
+            .collect(Collectors.toMap(ListedTarget::address, each -> each, ListedTarget::later))
             .values();
-    Map<String, List<Known>> byService = new HashMap<>();
+    Map<String, List<ListedTarget>> byService = new HashMap<>();
     current.stream()
         .filter(each -> !each.isLeaving())
         .forEach(
--- a/gateway/src/main/java/dev/ibishub/gateway/front/LimitWatch.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/TargetLimits.java
@@ -1,7 +1,7 @@
 package dev.ibishub.gateway.front;
 
 import com.google.common.flogger.FluentLogger;
-import dev.ibishub.core.serving.LimitWord;
+import dev.ibishub.core.serving.LimitStatement;
 import dev.ibishub.core.serving.SharedLimits;
 import dev.ibishub.runtime.LogEvent;
 import dev.ibishub.runtime.MonotonicClock;
@@ -18,7 +18,7 @@
 /**
  * Registry of the request limits that targets announce, shared with the other entries. Thread-safe.
  */
-public final class LimitWatch {
+public final class TargetLimits {
   private static final FluentLogger logger = FluentLogger.forEnclosingClass();
 
   private final SharedLimits limits;
@@ -32,7 +32,7 @@
    * @param broadcast sends a message to all linked entries
    * @param registry where the metrics are registered
    */
-  public LimitWatch(SharedLimits limits, Consumer<Frame> broadcast, PrometheusRegistry registry) {
+  public TargetLimits(SharedLimits limits, Consumer<Frame> broadcast, PrometheusRegistry registry) {
     this.limits = limits;
     this.broadcast = broadcast;
     sends =
@@ -44,16 +44,16 @@
   }
 
   /** Whether this entry may send a request to a target now. */
-  boolean allows(String targetLife, long now) {
-    return limits.allows(targetLife, now);
+  boolean allows(String targetIncarnation, long now) {
+    return limits.allows(targetIncarnation, now);
   }
 
   /** Counts a request sent to a target. */
-  void onSent(String service, String targetLife, long now) {
-    if (limits.isLimited(targetLife)) {
+  void onSent(String service, String targetIncarnation, long now) {
+    if (limits.isLimited(targetIncarnation)) {
       sends.labelValues(service).inc();
     }
-    limits.onSent(targetLife, now);
+    limits.onSent(targetIncarnation, now);
   }
 
   /**
@@ -62,9 +62,9 @@
    * @param limit requests per second; empty if the target names no limit
    * @param sentAt when the request was sent, milliseconds
    */
-  void onResponse(String targetLife, OptionalDouble limit, long sentAt) {
+  void onResponse(String targetIncarnation, OptionalDouble limit, long sentAt) {
     long now = MonotonicClock.millis();
-    Optional<LimitWord> newLimits = limits.onAnswer(targetLife, limit, sentAt, now);
+    Optional<LimitStatement> newLimits = limits.onAnswer(targetIncarnation, limit, sentAt, now);
     newLimits.ifPresent(
         changed -> {
           log("answer", changed);
@@ -77,10 +77,12 @@
    *
    * @return whether any of it was new, so that other entries may not have it yet
    */
-  public boolean onTold(LimitReport report) {
+  public boolean onReport(LimitReport report) {
     long now = MonotonicClock.millis();
-    List<LimitWord> newLimits =
-        LimitMessages.limits(report, now).filter(changed -> limits.onWord(changed, now)).toList();
+    List<LimitStatement> newLimits =
+        LimitMessages.limits(report, now)
+            .filter(changed -> limits.onPeerStatement(changed, now))
+            .toList();
     newLimits.forEach(changed -> log("entry", changed));
     return !newLimits.isEmpty();
   }
@@ -91,7 +93,7 @@
    */
   public void tick(Set<String> entryHosts, long now) {
     limits.tick(entryHosts, now);
-    List<LimitWord> due = limits.takeDue();
+    List<LimitStatement> due = limits.takeDueBroadcasts();
     if (!due.isEmpty()) {
       broadcast.accept(LimitMessages.frame(due, now));
     }
@@ -102,17 +104,17 @@
    * none.
    */
   public Optional<Frame> snapshot() {
-    List<LimitWord> all = limits.all();
+    List<LimitStatement> all = limits.all();
     return all.isEmpty()
         ? Optional.empty()
         : Optional.of(LimitMessages.frame(all, MonotonicClock.millis()));
   }
 
-  private static void log(String source, LimitWord changed) {
+  private static void log(String source, LimitStatement changed) {
     logger.atInfo().log(
         "%s",
         LogEvent.of(changed.requestsPerSecond().isPresent() ? "limit.named" : "limit.ended")
-            .with("target_life", changed.targetLife())
+            .with("target_life", changed.targetIncarnation())
             .with("requests_per_second", changed.requestsPerSecond().orElse(0))
             .with("source", source));
   }
--- a/gateway/src/main/java/dev/ibishub/gateway/front/TargetAnswer.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/front/TargetResponse.java
@@ -16,11 +16,11 @@
  * @param isEventStream whether the body is a stream of events
  * @param requestsPerSecond the most requests per second that the target takes from all entries
  *     together; empty where it names no limit
- * @param restMillis how long the target wants no requests from this entry, milliseconds; empty
+ * @param backOffMillis how long the target wants no requests from this entry, milliseconds; empty
  *     unless it refuses a request and says so
  * @param isLeaving whether the target says that it is leaving, that is, about to stop
  */
-public record TargetAnswer(
+public record TargetResponse(
     int status,
     boolean notRun,
     boolean isSigned,
@@ -28,7 +28,7 @@
     boolean isEncoded,
     boolean isEventStream,
     OptionalDouble requestsPerSecond,
-    OptionalLong restMillis,
+    OptionalLong backOffMillis,
     boolean isLeaving) {
   /** Whether the status is a 2xx. */
   public boolean isSuccess() {
--- a/gateway/src/main/java/dev/ibishub/gateway/http/HttpCaller.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/http/PooledHttpClient.java
@@ -37,10 +37,10 @@
  * connection on which a response did not arrive in time is closed, as it may be dead. Thread-safe.
  *
  * <pre>{@code
- * caller.call(HttpCall.get("10.1.0.4", 8080, "/health", 500)).thenAccept(reply -> ...);
+ * client.call(HttpCall.get("10.1.0.4", 8080, "/health", 500)).thenAccept(reply -> ...);
  * }</pre>
  */
-public final class HttpCaller {
+public final class PooledHttpClient {
   private static final int CONNECT_TIMEOUT_MILLIS = 800;
 
   /**
@@ -63,7 +63,7 @@
 
   private record IdleConnection(Channel channel, long reusableUntilNanos) {}
 
-  public HttpCaller(EventLoopGroup group) {
+  public PooledHttpClient(EventLoopGroup group) {
     this.group = group;
   }
 
--- a/gateway/src/main/java/dev/ibishub/gateway/membership/PeerMesh.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/membership/PeerMesh.java
@@ -231,8 +231,8 @@
   }
 
   /** Returns this entry's position, from 0, in the order of the entries that are not leaving. */
-  public synchronized int turn(long now) {
-    return roster.turn(now);
+  public synchronized int position(long now) {
+    return roster.position(now);
   }
 
   /**
@@ -243,7 +243,7 @@
     boolean hasSettled =
         now >= mayLeadFrom
             && (now >= mayLeadFrom + EXTRA_SETTLING_MILLIS || !roster.isAnyPending(now));
-    return hasSettled && isFirst(1, now);
+    return hasSettled && isAmongFirst(1, now);
   }
 
   /**
@@ -252,11 +252,11 @@
    *
    * @param places the number of entries wanted
    */
-  public synchronized boolean isFirst(int places, long now) {
+  public synchronized boolean isAmongFirst(int places, long now) {
     return now >= mayLeadFrom - SETTLING_MILLIS + SHARED_WORK_SETTLING_MILLIS
         && now - lastTickAt <= STALL_MILLIS
         && !self.isLeaving().getAsBoolean()
-        && roster.turn(now) < places;
+        && roster.position(now) < places;
   }
 
   @Override
@@ -266,7 +266,7 @@
       // The next regular heartbeat may be 200 ms away; until it arrives the peer knows nothing of
       // this entry.
       long now = MonotonicClock.millis();
-      directRoster = directRoster.next(roster.heard(now));
+      directRoster = directRoster.next(roster.heardDirectly(now));
       if (link.offer(HeartbeatMessages.frame(self.facts(), directRoster, false, now))) {
         state.sentRosterVersion = directRoster.version();
       }
@@ -311,7 +311,7 @@
     IntStream.range(0, Math.min(state.receivedRoster.size(), beat.getAgesCount()))
         .forEach(
             index ->
-                roster.onTold(state.receivedRoster.get(index), now - beat.getAges(index), now));
+                roster.onRelayed(state.receivedRoster.get(index), now - beat.getAges(index), now));
   }
 
   /**
@@ -332,7 +332,7 @@
   }
 
   private void checkLinks(long now) {
-    hostsToLink = new HashSet<>(roster.wanted(now));
+    hostsToLink = new HashSet<>(roster.hostsToLink(now));
     Set<String> linked =
         links.entrySet().stream()
             .filter(link -> link.getKey().isOpen())
@@ -379,7 +379,7 @@
 
   /** Sends a heartbeat over each link, with the roster where the peer lacks its current version. */
   private void sendHeartbeats(long now) {
-    directRoster = directRoster.next(roster.heard(now));
+    directRoster = directRoster.next(roster.heardDirectly(now));
     EntryFacts own = self.facts();
     Frame withoutRoster = HeartbeatMessages.frame(own, directRoster, true, now);
     List<Link> openLinks = openLinks();
