--- a/gateway/src/main/java/dev/ibishub/gateway/model/EngineProfile.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/model/EngineProfile.java
@@ -13,7 +13,8 @@
  * @param layers number of layer sets with experts of their own; 0 for engines without experts
  * @param experts number of experts in each layer set
  * @param placesPerRank maximum number of experts of a layer set that a rank holds
- * @param newPerSet maximum number of experts of a layer set that a rank may fetch for one new map
+ * @param maximumFetchesPerSet maximum number of experts of a layer set that a rank may fetch for
+ *     one new map
  * @param expertMegabytes size of an expert, megabytes
  * @param linkMegabitsPerSecond bandwidth for fetching experts, megabits per second
  * @param expertShare fraction of the per-token work that experts do, 0 to 1
@@ -31,7 +32,7 @@
     int layers,
     int experts,
     int placesPerRank,
-    int newPerSet,
+    int maximumFetchesPerSet,
     double expertMegabytes,
     double linkMegabitsPerSecond,
     double expertShare,
@@ -98,7 +99,7 @@
    *
    * @param skew per-token work of the most loaded ranks, as a multiple of the mean
    */
-  public double passLength(double skew) {
+  public double relativePassDuration(double skew) {
     return hasTiming() ? passMillis(skew) : skew;
   }
 
@@ -108,22 +109,22 @@
    * objective. For an objective of 120 ms and current engines this is 1.6, well above the factor of
    * 1.25 by which demand differs at random between consecutive windows.
    *
-   * @param longestPauseMillis objective for the longest pause between two pieces of a stream,
+   * @param pauseObjectiveMillis objective for the longest pause between two pieces of a stream,
    *     milliseconds
    */
-  public double startSkew(long longestPauseMillis) {
+  public double startSkew(long pauseObjectiveMillis) {
     if (!hasTiming()) {
       return DEFAULT_START_SKEW;
     }
     double tokenTimeRatio =
-        (longestPauseMillis - stepsPerPass * baseStepMillis) / tokenMillisPerPass();
+        (pauseObjectiveMillis - stepsPerPass * baseStepMillis) / tokenMillisPerPass();
     double skewAtObjective = 1 + (tokenTimeRatio - 1) / expertShare;
     return Math.min(
         MAXIMUM_START_SKEW, Math.max(BALANCED_SKEW, 1 + START_FRACTION * (skewAtObjective - 1)));
   }
 
   /** Returns the mean time until a slot of a full engine becomes free, milliseconds. */
-  public double slotFreesMillis() {
+  public double slotWaitMillis() {
     double stepMillis = passMillis(BALANCED_SKEW) / stepsPerPass;
     return meanAnswerTokens * stepMillis / Math.max(1, slots);
   }
@@ -135,16 +136,17 @@
    * retries once, is late as well, and may be refused again. The result is at least 1, since slots
    * would otherwise stay empty between two load reports.
    *
-   * @param aimMillis latency objective for the first piece, milliseconds; 0 for none
+   * @param latencyObjectiveMillis latency objective for the first piece, milliseconds; 0 for none
    */
-  public int waitingPlaces(long aimMillis) {
-    double patienceMillis = Math.max(MINIMUM_PATIENCE_MILLIS, aimMillis * PATIENCE_FACTOR);
+  public int queueLimit(long latencyObjectiveMillis) {
+    double patienceMillis =
+        Math.max(MINIMUM_PATIENCE_MILLIS, latencyObjectiveMillis * PATIENCE_FACTOR);
     double queueMillis = patienceMillis / 2 - passMillis(BALANCED_SKEW);
-    return Math.max(1, (int) (queueMillis / Math.max(1, slotFreesMillis())));
+    return Math.max(1, (int) (queueMillis / Math.max(1, slotWaitMillis())));
   }
 
   /** Returns how long to wait for a group to open once all its ranks are present, milliseconds. */
-  public long formingMillis() {
+  public long formationTimeoutMillis() {
     return (long) (FORMATION_TIMEOUT_FACTOR * formationMillis);
   }
 
--- a/gateway/src/main/java/dev/ibishub/gateway/model/Route.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/model/Route.java
@@ -12,8 +12,9 @@
  * @param pathPrefix prefix of their paths
  * @param kind how a failed request may be retried
  * @param timeoutMillis maximum time that a caller is kept waiting, milliseconds
- * @param aimMillis latency objective for the first piece of an answer, milliseconds; 0 for none
- * @param longestPauseMillis objective for the longest pause between two pieces of a stream,
+ * @param latencyObjectiveMillis latency objective for the first piece of an answer, milliseconds; 0
+ *     for none
+ * @param pauseObjectiveMillis objective for the longest pause between two pieces of a stream,
  *     milliseconds; 0 for none
  * @param priority priority of its requests, 0 being the highest
  * @param destinations services among which the requests are split by weight; not empty
@@ -26,8 +27,8 @@
     String pathPrefix,
     RequestKind kind,
     long timeoutMillis,
-    long aimMillis,
-    long longestPauseMillis,
+    long latencyObjectiveMillis,
+    long pauseObjectiveMillis,
     int priority,
     List<Destination> destinations,
     int maximumRuns,
@@ -57,7 +58,7 @@
    * @param point uniformly random number in [0, 1)
    * @return the name of the chosen service
    */
-  public String destination(double point) {
+  public String chooseService(double point) {
     double remainingWeight = point * destinations.stream().mapToDouble(Destination::weight).sum();
     for (Destination destination : destinations) {
       remainingWeight -= destination.weight();
--- a/gateway/src/main/java/dev/ibishub/gateway/model/Target.java
+++ b/gateway/src/main/java/dev/ibishub/gateway/model/Target.java
@@ -35,7 +35,7 @@
   }
 
   /** Returns an identifier of this incarnation: it changes when the target restarts. */
-  public String life() {
+  public String incarnation() {
     return id + "@" + startedAtMillis;
   }
 
--- a/gateway/src/test/java/dev/ibishub/gateway/experts/LoadRelayTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/experts/LoadRelayTest.java
@@ -35,11 +35,11 @@
   void otherEntriesLearnLoadFromCollector() {
     collector.onReport(HOST, new TargetReport(5, 2.5, true, 1_000));
     collector.tick(true, 1_040);
-    sent.forEach(frame -> other.onTold(frame.getLoadReports(), 1_042));
+    sent.forEach(frame -> other.onPeerReports(frame.getLoadReports(), 1_042));
 
     assertThat(requests(collectorTargets, 1_042)).isEqualTo(5);
     assertThat(requests(otherTargets, 1_042)).isEqualTo(5);
-    assertThat(otherTargets.atHost(HOST).get(0).load().handicap(1_042)).isPositive();
+    assertThat(otherTargets.atHost(HOST).get(0).load().penalty(1_042)).isPositive();
   }
 
   // Guards against requests to a full target: of two collectors, the one with the older report may
@@ -49,7 +49,7 @@
     collector.onReport(HOST, new TargetReport(3, 1, true, 1_000));
     collector.tick(true, 1_058);
     other.onReport(HOST, new TargetReport(9, 1, true, 1_050));
-    sent.forEach(frame -> other.onTold(frame.getLoadReports(), 1_060));
+    sent.forEach(frame -> other.onPeerReports(frame.getLoadReports(), 1_060));
 
     assertThat(requests(otherTargets, 1_060)).isEqualTo(9);
   }
@@ -70,7 +70,7 @@
   void sendsThatTargetTakesNoRequests() {
     collector.onReport(HOST, new TargetReport(0, 1, false, 1_000));
     collector.tick(true, 1_000);
-    sent.forEach(frame -> other.onTold(frame.getLoadReports(), 1_002));
+    sent.forEach(frame -> other.onPeerReports(frame.getLoadReports(), 1_002));
 
     assertThat(otherTargets.atHost(HOST).get(0).load().isClosed(1_002)).isTrue();
   }
@@ -90,7 +90,7 @@
     List<Frame> second = new ArrayList<>();
     LoadRelay late = new LoadRelay(otherTargets, second::add);
     late.onReport(HOST, new TargetReport(3, 1, true, 1_001));
-    sent.forEach(frame -> late.onTold(frame.getLoadReports(), 1_012));
+    sent.forEach(frame -> late.onPeerReports(frame.getLoadReports(), 1_012));
     late.tick(true, 1_020);
 
     assertThat(second).isEmpty();
@@ -105,7 +105,7 @@
     List<Frame> second = new ArrayList<>();
     LoadRelay late = new LoadRelay(otherTargets, second::add);
     late.onReport(HOST, new TargetReport(0, 1, true, 1_005));
-    sent.forEach(frame -> late.onTold(frame.getLoadReports(), 1_012));
+    sent.forEach(frame -> late.onPeerReports(frame.getLoadReports(), 1_012));
     late.tick(true, 1_020);
 
     assertThat(second).hasSize(1);
--- a/gateway/src/test/java/dev/ibishub/gateway/experts/RankAgentTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/experts/RankAgentTest.java
@@ -73,38 +73,38 @@
   private void sendOrder(RankOrder.Kind kind) {
     RankOrder order = new RankOrder("i-1", kind, VERSION, STEP, 1, 1, Optional.empty());
     agent.onFrame(leader, RankMessages.order(1, order));
-    agent.look();
+    agent.poll();
   }
 
   @Test
   void looksOftenUntilExpertsAreCopied() {
-    long usual = agent.untilNextLookMillis();
+    long usual = agent.untilNextPollMillis();
     sendOrder(RankOrder.Kind.PREPARE);
-    assertThat(agent.untilNextLookMillis()).isLessThan(usual);
+    assertThat(agent.untilNextPollMillis()).isLessThan(usual);
 
     engine.state = FakeEngine.state(0, VERSION);
-    agent.look();
-    assertThat(agent.untilNextLookMillis()).isEqualTo(usual);
+    agent.poll();
+    assertThat(agent.untilNextPollMillis()).isEqualTo(usual);
   }
 
   @Test
   void looksOftenUntilArmedMapIsInUse() {
-    long usual = agent.untilNextLookMillis();
+    long usual = agent.untilNextPollMillis();
     engine.state = FakeEngine.state(0, VERSION);
     sendOrder(RankOrder.Kind.ARM);
-    assertThat(agent.untilNextLookMillis()).isLessThan(usual);
+    assertThat(agent.untilNextPollMillis()).isLessThan(usual);
 
     engine.state = FakeEngine.state(VERSION, 0);
-    agent.look();
-    assertThat(agent.untilNextLookMillis()).isEqualTo(usual);
+    agent.poll();
+    assertThat(agent.untilNextPollMillis()).isEqualTo(usual);
   }
 
   @Test
   void keepsUsualIntervalAfterRefusedOrder() {
-    long usual = agent.untilNextLookMillis();
+    long usual = agent.untilNextPollMillis();
     engine.result = RankOrder.Result.CONFLICT;
     sendOrder(RankOrder.Kind.ARM);
 
-    assertThat(agent.untilNextLookMillis()).isEqualTo(usual);
+    assertThat(agent.untilNextPollMillis()).isEqualTo(usual);
   }
 }
--- a/gateway/src/test/java/dev/ibishub/gateway/front/FrontTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/front/FrontTest.java
@@ -54,10 +54,10 @@
   private static final int PIECE_INTERVAL_MILLIS = 100;
 
   private final List<Frame> broadcasts = new CopyOnWriteArrayList<>();
-  private final CrashWatch crashes = new CrashWatch(broadcasts::add);
-  private final TargetDirectory targets = new TargetDirectory("z", crashes::onLifeEnded);
-  private final LimitWatch limits =
-      new LimitWatch(
+  private final CrashDetector crashes = new CrashDetector(broadcasts::add);
+  private final TargetDirectory targets = new TargetDirectory("z", crashes::onIncarnationEnded);
+  private final TargetLimits limits =
+      new TargetLimits(
           new SharedLimits("own", LimitDivision.amongFewHolders()),
           broadcasts::add,
           new PrometheusRegistry());
@@ -92,7 +92,7 @@
                 () -> configuration,
                 targets,
                 new RetryBudgets(new RetryLimits(1, 10, 10_000), MonotonicClock.millis(), true),
-                new ServiceWatch(),
+                new ServiceStatistics(),
                 crashes,
                 limits,
                 () -> 1,
@@ -127,7 +127,7 @@
     }
 
     @Override
-    public boolean mayCut(long deadline) {
+    public boolean mayInterrupt(long deadline) {
       return false;
     }
   }
--- a/gateway/src/test/java/dev/ibishub/gateway/front/PlainDialect.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/front/PlainDialect.java
@@ -11,7 +11,7 @@
 /** Dialect with short headers for these tests, which do without the platform's. */
 final class PlainDialect implements RequestDialect {
   @Override
-  public void address(HttpHeaders headers, TargetRequest request) {
+  public void writeTargetHeaders(HttpHeaders headers, TargetRequest request) {
     headers.set("target", request.targetId());
     request.lastEventId().ifPresent(id -> headers.set("after", id));
   }
@@ -26,8 +26,8 @@
   }
 
   @Override
-  public TargetAnswer read(HttpResponse response) {
-    return new TargetAnswer(
+  public TargetResponse read(HttpResponse response) {
+    return new TargetResponse(
         response.status().code(),
         response.headers().contains("not-run"),
         response.headers().contains("signed"),
--- a/gateway/src/test/java/dev/ibishub/gateway/front/TargetDirectoryTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/front/TargetDirectoryTest.java
@@ -40,11 +40,11 @@
   @Test
   void targetAnnouncedAgainInTheSameLifeKeepsBackOffAndLeavingState() {
     directory.onAnnounced(target(false, 1), 1);
-    TargetDirectory.Known first = directory.usable("pages").get(0);
-    first.load().onRestAsked(5_000);
+    TargetDirectory.ListedTarget first = directory.usable("pages").get(0);
+    first.load().onBackOffRequested(5_000);
     directory.onDropped("t1", 0, 1_000);
     directory.onAnnounced(target(false, 1), 2);
-    assertThat(directory.usable("pages").get(0).load().isResting(2_000)).isTrue();
+    assertThat(directory.usable("pages").get(0).load().isBackingOff(2_000)).isTrue();
 
     directory.onLeavingResponse(first);
     directory.onDropped("t1", 0, 1_000);
@@ -85,7 +85,7 @@
   }
 
   // Guards against a restarted target that receives no requests: under its old id it would be
-  // judged by the failures of its earlier life.
+  // judged by the failures of its earlier incarnation.
   @Test
   void restartUnderTheSameIdClearsSuspension() {
     directory.onAnnounced(target(false, 1), 7);
@@ -100,7 +100,8 @@
   }
 
   // Guards against refused requests after a loss of power, half of them in the first seconds.
-  // Targets had restarted under new ids while the records of their earlier lives had not expired,
+  // Targets had restarted under new ids while the records of their earlier incarnations had not
+  // expired,
   // and an entry that read both sent requests to both.
   @Test
   void targetWhoseAddressHasANewerRecordIsNotUsable() {
@@ -158,7 +159,7 @@
   }
 
   @Test
-  void doesNotReportEndOfLeavingLife() {
+  void doesNotReportEndOfLeavingIncarnation() {
     List<String> ended = new ArrayList<>();
     TargetDirectory watched = new TargetDirectory("zone-a", ended::add);
     watched.onAnnounced(target(true, 1), 1);
--- a/gateway/src/test/java/dev/ibishub/gateway/model/EngineProfileTest.java
+++ b/gateway/src/test/java/dev/ibishub/gateway/model/EngineProfileTest.java
@@ -36,7 +36,7 @@
     EngineProfile untimed = new EngineProfile(8, 0, 0, 1, 0, 0, 0, 3, 96, 11, 4, 2_200, 0, 0, 0);
 
     assertThat(untimed.startSkew(120)).isBetween(1.2, 2.0);
-    assertThat(untimed.passLength(3)).isGreaterThan(2 * untimed.passLength(1));
+    assertThat(untimed.relativePassDuration(3)).isGreaterThan(2 * untimed.relativePassDuration(1));
   }
 
   @Test
@@ -62,20 +62,20 @@
   @Test
   void queuedRequestsStartWithinHalfOfCallersPatience() {
     EngineProfile engine = engine(0.5, 8);
-    int queued = engine.waitingPlaces(400);
+    int queued = engine.queueLimit(400);
 
     assertThat(queued).isGreaterThan(1);
-    assertThat(engine.passMillis(1.2) + queued * engine.slotFreesMillis()).isLessThan(1_000);
+    assertThat(engine.passMillis(1.2) + queued * engine.slotWaitMillis()).isLessThan(1_000);
   }
 
   @Test
   void queueIsLongerWhenSlotsBecomeFreeSooner() {
-    assertThat(engine(0.5, 64).waitingPlaces(400)).isGreaterThan(engine(0.5, 8).waitingPlaces(400));
-    assertThat(engine(9, 1).waitingPlaces(0)).isEqualTo(1);
+    assertThat(engine(0.5, 64).queueLimit(400)).isGreaterThan(engine(0.5, 8).queueLimit(400));
+    assertThat(engine(9, 1).queueLimit(0)).isEqualTo(1);
   }
 
   @Test
   void groupMayTakeHalfLongerThanStatedToOpen() {
-    assertThat(engine(0.5, 8).formingMillis()).isEqualTo(900);
+    assertThat(engine(0.5, 8).formationTimeoutMillis()).isEqualTo(900);
   }
 }
--- a/node/src/main/java/dev/ibishub/node/AgentNode.java
+++ b/node/src/main/java/dev/ibishub/node/AgentNode.java
@@ -3,10 +3,10 @@
 import com.google.common.flogger.FluentLogger;
 import dev.ibishub.gateway.experts.RankAgent;
 import dev.ibishub.gateway.experts.RankEngine;
-import dev.ibishub.gateway.http.HttpCaller;
+import dev.ibishub.gateway.http.PooledHttpClient;
 import dev.ibishub.platform.EngineClient;
 import dev.ibishub.runtime.LogEvent;
-import dev.ibishub.runtime.StopSignals;
+import dev.ibishub.runtime.ProcessSignals;
 import dev.ibishub.settings.NodeSettings;
 import dev.ibishub.wire.Identity;
 import dev.ibishub.wire.WireTransport;
@@ -44,8 +44,8 @@
     if (nextPoll != null) {
       nextPoll.cancel(false);
     }
-    agent.look();
-    nextPoll = loop.schedule(this::poll, agent.untilNextLookMillis(), TimeUnit.MILLISECONDS);
+    agent.poll();
+    nextPoll = loop.schedule(this::poll, agent.untilNextPollMillis(), TimeUnit.MILLISECONDS);
   }
 
   /**
@@ -59,9 +59,10 @@
     AgentNode node =
         new AgentNode(
             group.next(),
-            new EngineClient(new HttpCaller(group), engine.getHostString(), engine.getPort()));
+            new EngineClient(
+                new PooledHttpClient(group), engine.getHostString(), engine.getPort()));
     WireTransport transport =
-        WireTransport.sharing(
+        WireTransport.createOnGroup(
             new Identity(
                 settings.processId(),
                 "agent",
@@ -75,7 +76,7 @@
     // A JVM without a handler exits on SIGHUP, which here only means that the settings may have
     // changed. None of the settings that an agent uses can change while it runs.
     new SettingsWatch(file, settings, changed -> {}).start(group);
-    StopSignals.onStop(
+    ProcessSignals.onStop(
         () -> {
           logger.atInfo().log("%s", LogEvent.of("agent.stopped"));
           System.exit(0);
--- a/node/src/main/java/dev/ibishub/node/EntryNode.java
+++ b/node/src/main/java/dev/ibishub/node/EntryNode.java
@@ -10,15 +10,15 @@
 import dev.ibishub.gateway.experts.RankLinks;
 import dev.ibishub.gateway.experts.RankPaths;
 import dev.ibishub.gateway.front.CallerServer;
-import dev.ibishub.gateway.front.CrashWatch;
-import dev.ibishub.gateway.front.LimitWatch;
+import dev.ibishub.gateway.front.CrashDetector;
 import dev.ibishub.gateway.front.RequestContext;
 import dev.ibishub.gateway.front.RequestMetrics;
 import dev.ibishub.gateway.front.RetryBudgets;
-import dev.ibishub.gateway.front.ServiceWatch;
+import dev.ibishub.gateway.front.ServiceStatistics;
 import dev.ibishub.gateway.front.TargetDirectory;
-import dev.ibishub.gateway.http.HttpCaller;
+import dev.ibishub.gateway.front.TargetLimits;
 import dev.ibishub.gateway.http.PageServer;
+import dev.ibishub.gateway.http.PooledHttpClient;
 import dev.ibishub.gateway.membership.PeerMesh;
 import dev.ibishub.gateway.model.Service;
 import dev.ibishub.gateway.model.ServingConfiguration;
@@ -29,7 +29,7 @@
 import dev.ibishub.platform.StoreClient;
 import dev.ibishub.runtime.LogEvent;
 import dev.ibishub.runtime.MonotonicClock;
-import dev.ibishub.runtime.StopSignals;
+import dev.ibishub.runtime.ProcessSignals;
 import dev.ibishub.settings.NodeSettings;
 import dev.ibishub.wire.Identity;
 import dev.ibishub.wire.WireTransport;
@@ -81,8 +81,8 @@
       new MultiThreadIoEventLoopGroup(IO_THREADS, NioIoHandler.newFactory());
   private final ScheduledExecutorService ticker = group.next();
   private final CurrentConfiguration configuration = new CurrentConfiguration();
-  private final CrashWatch crashes;
-  private final LimitWatch limits;
+  private final CrashDetector crashes;
+  private final TargetLimits limits;
   private final TargetDirectory targets;
   private final NodeMetrics metrics;
   private final StoreClient store;
@@ -103,20 +103,20 @@
   private EntryNode(NodeSettings settings) {
     this.settings = settings;
     InetSocketAddress storeAddress = SocketAddresses.parse(settings.storeAddress().orElseThrow());
-    HttpCaller caller = new HttpCaller(group);
+    PooledHttpClient httpClient = new PooledHttpClient(group);
     metrics = new NodeMetrics(PrometheusRegistry.defaultRegistry);
-    crashes = new CrashWatch(this::broadcast);
+    crashes = new CrashDetector(this::broadcast);
     limits =
-        new LimitWatch(
+        new TargetLimits(
             new SharedLimits(settings.host(), LimitDivision.amongFewHolders()),
             this::broadcast,
             PrometheusRegistry.defaultRegistry);
-    targets = new TargetDirectory(settings.zone(), crashes::onLifeEnded);
+    targets = new TargetDirectory(settings.zone(), crashes::onIncarnationEnded);
     stop = new GracefulStop(settings);
     budgets = new RetryBudgets(retryLimits(settings), startedAt, settings.isFirstStart());
     store =
         new StoreClient(
-            caller, storeAddress.getHostString(), storeAddress.getPort(), metrics::onStoreCall);
+            httpClient, storeAddress.getHostString(), storeAddress.getPort(), metrics::onStoreCall);
     topics =
         new StoreTopics(
             store,
@@ -124,20 +124,20 @@
             targets,
             new StoreTopics.Listener(
                 this::broadcast, host -> mesh().addHosts(List.of(host), MonotonicClock.millis())));
-    transport = WireTransport.sharing(identity(settings), group);
+    transport = WireTransport.createOnGroup(identity(settings), group);
     mesh = newMesh();
     experts =
         new ExpertController(
             targets,
             configuration::get,
-            (target, order) -> paths().give(target, order),
+            (target, order) -> paths().send(target, order),
             InstantSource.system());
     loads = new LoadRelay(targets, mesh::broadcast);
     ranks = new RankLinks(transport, settings.linkPort(), loads, experts);
     paths =
         new RankPaths(
             ranks,
-            target -> new EngineClient(caller, target.host(), target.port()),
+            target -> new EngineClient(httpClient, target.host(), target.port()),
             targets,
             loads,
             experts);
@@ -161,7 +161,8 @@
             stop::isLeaving),
         transport,
         this::snapshots,
-        new PeerMesh.Listener(topics::onProgress, crashes::onTold, limits::onTold, this::onLoads));
+        new PeerMesh.Listener(
+            topics::onProgress, crashes::onReport, limits::onReport, this::onLoads));
   }
 
   private static RetryLimits retryLimits(NodeSettings settings) {
@@ -178,7 +179,7 @@
             configuration::get,
             targets,
             budgets,
-            new ServiceWatch(),
+            new ServiceStatistics(),
             crashes,
             limits,
             () -> mesh.entries(MonotonicClock.millis()),
@@ -227,7 +228,7 @@
           new InetSocketAddress(settings.host(), settings.metricsPort()),
           new MetricsText(PrometheusRegistry.defaultRegistry, this::updateMetrics));
     }
-    StopSignals.onStop(() -> stop.run(server));
+    ProcessSignals.onStop(() -> stop.run(server));
     new SettingsWatch(file, settings, this::applySettings).start(ticker);
   }
 
@@ -268,8 +269,8 @@
       limits.tick(mesh.stayingHosts(now), now);
       budgets.onEntries(mesh.entries(now), now);
       leads = mesh.leads(now);
-      int turn = mesh.turn(now);
-      boolean collects = mesh.isFirst(LoadRelay.COLLECTORS, now);
+      int turn = mesh.position(now);
+      boolean collects = mesh.isAmongFirst(LoadRelay.COLLECTORS, now);
       Set<String> engineHosts = collects ? engineHosts() : Set.of();
       experts.tick(leads, now);
       // The first entry in order collects maps and picks before it may lead, so that it has them
@@ -277,7 +278,7 @@
       boolean collectsPicksAndMaps = collects && turn == 0;
       ranks.tick(engineHosts, collectsPicksAndMaps, experts::wantsPicks, now);
       if (leads) {
-        paths.lookAround(engineHosts, now);
+        paths.pollUnlinked(engineHosts, now);
       }
       loads.tick(collects, now);
       topics.tick(now, turn);
@@ -304,7 +305,7 @@
       return Set.of();
     }
     return targets.all().stream()
-        .map(TargetDirectory.Known::target)
+        .map(TargetDirectory.ListedTarget::target)
         .filter(
             target ->
                 Optional.ofNullable(current.get().services().get(target.service()))
@@ -345,6 +346,6 @@
   }
 
   private void onLoads(LoadReports reports) {
-    loads.onTold(reports, MonotonicClock.millis());
+    loads.onPeerReports(reports, MonotonicClock.millis());
   }
 }
--- a/node/src/main/java/dev/ibishub/node/GracefulStop.java
+++ b/node/src/main/java/dev/ibishub/node/GracefulStop.java
@@ -54,7 +54,7 @@
   }
 
   @Override
-  public boolean mayCut(long deadline) {
+  public boolean mayInterrupt(long deadline) {
     return isLeaving()
         && MonotonicClock.millis() > leavingSince + ACCEPTS_ALL_MILLIS
         && deadline > endsAt();
--- a/node/src/main/java/dev/ibishub/node/NodeMain.java
+++ b/node/src/main/java/dev/ibishub/node/NodeMain.java
@@ -27,7 +27,7 @@
     Path file = fromEnvironment.isPresent() ? fromEnvironment.get() : fileOnCommandLine(arguments);
     NodeSettings settings = readOrExit(file);
     LogSetup.configureQueued(settings.processId());
-    Startup.orEnd(Executors.callable(() -> start(settings, file)));
+    Startup.startOrExit(Executors.callable(() -> start(settings, file)));
   }
 
   private static void start(NodeSettings settings, Path file) {
--- a/node/src/main/java/dev/ibishub/node/SettingsWatch.java
+++ b/node/src/main/java/dev/ibishub/node/SettingsWatch.java
@@ -2,7 +2,7 @@
 
 import com.google.common.flogger.FluentLogger;
 import dev.ibishub.runtime.LogEvent;
-import dev.ibishub.runtime.StopSignals;
+import dev.ibishub.runtime.ProcessSignals;
 import dev.ibishub.settings.NodeSettings;
 import dev.ibishub.settings.SettingsException;
 import java.io.IOException;
@@ -48,7 +48,7 @@
   /** Starts to watch the file and the signal; reloads run on the executor. */
   void start(ScheduledExecutorService executor) {
     lastModified = readLastModified();
-    StopSignals.onReload(() -> executor.execute(this::reload));
+    ProcessSignals.onReload(() -> executor.execute(this::reload));
     executor.scheduleWithFixedDelay(
         this::reloadIfChanged, CHECK_INTERVAL_SECONDS, CHECK_INTERVAL_SECONDS, TimeUnit.SECONDS);
   }
@@ -64,8 +64,8 @@
   private void reload() {
     try {
       NodeSettings read = NodeSettings.read(file);
-      List<String> fixed = read.fixedDifferences(inForce);
-      NodeSettings next = read.withFixedOf(inForce);
+      List<String> fixed = read.changedFixedKeys(inForce);
+      NodeSettings next = read.withFixedKeysOf(inForce);
       logger.atInfo().log(
           "%s",
           LogEvent.of("settings.read")
--- a/node/src/main/java/dev/ibishub/node/StoreTopics.java
+++ b/node/src/main/java/dev/ibishub/node/StoreTopics.java
@@ -9,7 +9,7 @@
 import dev.ibishub.gateway.records.RecordFollower.RecordChange;
 import dev.ibishub.gateway.records.RecordMessages;
 import dev.ibishub.platform.StoreClient;
-import dev.ibishub.platform.TargetEntryDecoder;
+import dev.ibishub.platform.TargetAnnouncementDecoder;
 import dev.ibishub.runtime.LogEvent;
 import dev.ibishub.runtime.MonotonicClock;
 import dev.ibishub.wire.generated.Frame;
@@ -85,7 +85,7 @@
             store,
             this::onTargetRecord,
             batch -> broadcastBatch(TARGETS, batch),
-            TargetEntryDecoder::isRenewal);
+            TargetAnnouncementDecoder::isRenewal);
     this.followers =
         List.of(
             new RecordFollower(
@@ -175,7 +175,8 @@
       return;
     }
     try {
-      targets.onAnnounced(TargetEntryDecoder.decode(change.record()), change.record().offset());
+      targets.onAnnounced(
+          TargetAnnouncementDecoder.decode(change.record()), change.record().offset());
     } catch (IOException | IllegalArgumentException e) {
       logger.atWarning().log(
           "%s",
--- a/node/src/test/java/dev/ibishub/node/NodeEndToEndTest.java
+++ b/node/src/test/java/dev/ibishub/node/NodeEndToEndTest.java
@@ -50,8 +50,8 @@
   void start() throws IOException, InterruptedException {
     deployment = new Deployment(Deployment.Programs.onThisClassPath(NodeMain.class.getName()));
     deployment.publish(3, "pages", "key-1");
-    first = deployment.target("i-1", "127.0.0.1", "pages");
-    second = deployment.target("i-2", "127.0.0.1", "pages");
+    first = deployment.startTarget("i-1", "127.0.0.1", "pages");
+    second = deployment.startTarget("i-2", "127.0.0.1", "pages");
     deployment.startEntry("entry-1", "127.0.1.1", "127.0.1.1");
     deployment.startEntry("entry-2", "127.0.1.2", "127.0.1.1");
     deployment.await("both entries listed", () -> isListed("entry-1") && isListed("entry-2"));
@@ -78,9 +78,9 @@
     assertThat(posted.headers().firstValue("X-Server-Stamp")).isPresent();
     assertThat(deployment.call("entry-1", "GET", "/none/", "key-1").statusCode()).isEqualTo(404);
 
-    List<String> ran = new ArrayList<>(first.ran());
-    ran.addAll(second.ran());
-    assertThat(ran).hasSize(2).anyMatch(line -> line.endsWith(" w1 null"));
+    List<String> executedAttempts = new ArrayList<>(first.executedAttempts());
+    executedAttempts.addAll(second.executedAttempts());
+    assertThat(executedAttempts).hasSize(2).anyMatch(line -> line.endsWith(" w1 null"));
   }
 
   @Test
@@ -113,7 +113,7 @@
   // other entries.
   @Test
   void requestThatCrashedTargetsIsRefusedAtOtherEntry() throws IOException, InterruptedException {
-    TargetStandIn third = deployment.target("i-3", "127.0.0.1", "pages");
+    TargetStandIn third = deployment.startTarget("i-3", "127.0.0.1", "pages");
     List<TargetStandIn> targets = List.of(first, second, third);
     targets.forEach(target -> target.crashOn("/page/poison"));
     deployment.await(
@@ -121,7 +121,7 @@
         () ->
             page("entry-1").statusCode() == 200
                 && page("entry-2").statusCode() == 200
-                && targets.stream().noneMatch(target -> target.ran().isEmpty()));
+                && targets.stream().noneMatch(target -> target.executedAttempts().isEmpty()));
 
     assertThat(deployment.call("entry-1", "GET", "/page/poison", "key-1").statusCode())
         .isEqualTo(502);
@@ -135,7 +135,7 @@
 
   @Test
   void newConfigurationAppliesAtEveryEntry() throws IOException, InterruptedException {
-    TargetStandIn other = deployment.target("i-3", "127.0.0.1", "other");
+    TargetStandIn other = deployment.startTarget("i-3", "127.0.0.1", "other");
     deployment.publish(9, "other", "key-1");
 
     deployment.await(
@@ -143,10 +143,11 @@
         () ->
             page("entry-1").statusCode() == 200
                 && page("entry-2").statusCode() == 200
-                && other.ran().size() >= 2);
-    int before = first.ran().size() + second.ran().size();
+                && other.executedAttempts().size() >= 2);
+    int before = first.executedAttempts().size() + second.executedAttempts().size();
     assertThat(page("entry-1").statusCode()).isEqualTo(200);
-    assertThat(first.ran().size() + second.ran().size()).isEqualTo(before);
+    assertThat(first.executedAttempts().size() + second.executedAttempts().size())
+        .isEqualTo(before);
   }
 
   @Test
@@ -167,7 +168,7 @@
 
   @Test
   void drainingTargetGetsNoMoreRequests() throws IOException, InterruptedException {
-    deployment.store().put("keyed.servers", "i-1", first.entry("pages", "draining"));
+    deployment.store().put("keyed.servers", "i-1", first.announcement("pages", "draining"));
     deployment.await("target left", () -> getsNoneOfNext(first, 10));
 
     assertThat(page("entry-2").statusCode()).isEqualTo(200);
@@ -186,12 +187,12 @@
 
   private boolean getsNoneOfNext(TargetStandIn target, int requests)
       throws IOException, InterruptedException {
-    int before = target.ran().size();
+    int before = target.executedAttempts().size();
     for (int i = 0; i < requests; i++) {
       page("entry-1");
       page("entry-2");
     }
-    return target.ran().size() == before;
+    return target.executedAttempts().size() == before;
   }
 
   @Test
@@ -240,7 +241,7 @@
     deployment.await(
         "all entries listed", () -> entries.stream().allMatch(this::isListedUnchecked));
     double limit = 1;
-    first.nameLimit(limit);
+    first.announceLimit(limit);
     Instant statedAt = Instant.now();
     while (Instant.now().isBefore(statedAt.plus(LIMIT_GRACE).plus(LIMIT_WINDOW.multipliedBy(2)))) {
       entries.forEach(entry -> assertThat(pageStatus(entry)).isEqualTo(200));
@@ -255,7 +256,7 @@
   // Guards against requests to a target that has asked this entry to back off.
   @Test
   void targetThatAskedForBackOffGetsNoMoreRequests() throws IOException, InterruptedException {
-    first.askForRest(Duration.ofHours(1));
+    first.askForBackOff(Duration.ofHours(1));
     Instant end = Instant.now().plus(REFUSAL_MEMORY);
     while (Instant.now().isBefore(end)) {
       assertThat(page("entry-1").statusCode()).isEqualTo(200);
@@ -269,9 +270,10 @@
   @Test
   void targetThatAnnouncesDrainInResponseGetsNoMoreRequests()
       throws IOException, InterruptedException {
-    first.sayThatItLeaves();
+    first.announceLeaving();
     deployment.await(
-        "drain announced", () -> page("entry-1").statusCode() == 200 && first.ran().size() > 0);
+        "drain announced",
+        () -> page("entry-1").statusCode() == 200 && first.executedAttempts().size() > 0);
     int arrivalsBefore = first.arrivals().size();
     for (int i = 0; i < REQUESTS; i++) {
       assertThat(page("entry-1").statusCode()).isEqualTo(200);
@@ -319,7 +321,7 @@
 
   @Test
   void killedAgentDoesNotInterruptRequestsToItsTarget() throws IOException, InterruptedException {
-    TargetStandIn model = deployment.target("i-9", "127.0.0.9", "models");
+    TargetStandIn model = deployment.startTarget("i-9", "127.0.0.9", "models");
     deployment.startAgent("agent-1", model);
     deployment.publish(9, "models", "key-1");
     deployment.await(
@@ -348,14 +350,14 @@
   @Test
   void ranksSwitchToRebalancedMapAtSameStepDespiteUnansweredOrders()
       throws IOException, InterruptedException {
-    RankGroup group = deployment.group("groups", new RankGroup.Options(4, 2, 8, 4, 2, 3));
+    RankGroup group = deployment.startGroup("groups", new RankGroup.Options(4, 2, 8, 4, 2, 3));
     for (int rank = 0; rank < 4; rank++) {
       deployment.startAgent("agent-" + rank, deployment.rank(rank));
     }
     deployment.publish(9, "groups", "key-1");
     group.setPopularity(new double[][] {{9, 1, 1, 1, 9, 1, 1, 1}, {1, 1, 1, 1, 1, 1, 1, 1}});
     deployment.await("a switch", () -> group.switches() >= 4);
-    deployment.loseOrders(1, 3);
+    deployment.delayOrdersWithoutReply(1, 3);
     group.setPopularity(new double[][] {{1, 1, 1, 1, 1, 1, 1, 1}, {1, 9, 1, 1, 1, 9, 1, 1}});
     deployment.await("another switch", () -> group.switches() >= 8);
     deployment.await("no step held", () -> !group.isHeld());
@@ -391,11 +393,11 @@
   // of settings sent it to every process; sixteen agents exited at once, and maps stopped changing.
   @Test
   void processesSurviveHangUpSignal() throws IOException, InterruptedException {
-    TargetStandIn model = deployment.target("i-9", "127.0.0.9", "models");
+    TargetStandIn model = deployment.startTarget("i-9", "127.0.0.9", "models");
     deployment.startAgent("agent-1", model);
     deployment.await("agent runs", () -> deployment.logOf("agent-1").contains("agent.started"));
     for (String name : List.of("entry-1", "agent-1")) {
-      deployment.hangUp(name);
+      deployment.sendHangUpSignal(name);
       deployment.await("settings read", () -> deployment.logOf(name).contains("settings.read"));
       assertThat(deployment.process(name).isAlive()).isTrue();
     }
--- a/runtime/src/main/java/dev/ibishub/runtime/MetricsPage.java
+++ b/runtime/src/main/java/dev/ibishub/runtime/MonitoringEndpoints.java
@@ -12,8 +12,8 @@
 import java.util.function.BooleanSupplier;
 
 /** Serves the monitoring endpoints of a process: metrics, health and readiness. */
-public final class MetricsPage {
-  private MetricsPage() {}
+public final class MonitoringEndpoints {
+  private MonitoringEndpoints() {}
 
   /**
    * Adds {@code /metrics}, {@code /healthz} and {@code /readyz} to a server.
--- a/runtime/src/main/java/dev/ibishub/runtime/StopSignals.java
+++ b/runtime/src/main/java/dev/ibishub/runtime/ProcessSignals.java
@@ -8,11 +8,11 @@
  * Handles the signals of a process: the first SIGTERM or SIGINT starts a graceful stop, a second
  * one exits at once, and SIGHUP reloads the settings.
  */
-public final class StopSignals {
+public final class ProcessSignals {
   /** Exit status after a second stop signal. */
   public static final int FORCED_STOP_STATUS = 130;
 
-  private StopSignals() {}
+  private ProcessSignals() {}
 
   /**
    * Registers the handler of SIGTERM and SIGINT. A shutdown hook is not enough: the JVM ignores a
@@ -52,7 +52,7 @@
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
       Object signalHandler =
           Proxy.newProxyInstance(
-              StopSignals.class.getClassLoader(),
+              ProcessSignals.class.getClassLoader(),
               new Class<?>[] {handler},
               (proxy, method, arguments) -> {
                 onSignal.run();
--- a/runtime/src/main/java/dev/ibishub/runtime/Startup.java
+++ b/runtime/src/main/java/dev/ibishub/runtime/Startup.java
@@ -21,13 +21,13 @@
    * processes that have exited, would leave it running although it serves no requests.
    *
    * <pre>{@code
-   * Entry entry = Startup.orEnd(() -> Entry.start(settings));
+   * Entry entry = Startup.startOrExit(() -> Entry.start(settings));
    * }</pre>
    *
    * @param start starts the component
    * @return what {@code start} returned
    */
-  public static <T> T orEnd(Callable<T> start) {
+  public static <T> T startOrExit(Callable<T> start) {
     try {
       return start.call();
     } catch (Exception e) {
--- a/runtime/src/test/java/dev/ibishub/runtime/StartupTest.java
+++ b/runtime/src/test/java/dev/ibishub/runtime/StartupTest.java
@@ -19,7 +19,7 @@
           () -> {
             throw new BindException("Address already in use");
           };
-      Startup.orEnd(start);
+      Startup.startOrExit(start);
     }
 
     private static void waitForever() {
@@ -56,6 +56,6 @@
 
   @Test
   void returnsResultOfSuccessfulStart() {
-    assertThat(Startup.orEnd(() -> "an entry")).isEqualTo("an entry");
+    assertThat(Startup.startOrExit(() -> "an entry")).isEqualTo("an entry");
   }
 }
--- a/settings/src/main/java/dev/ibishub/settings/NodeSettings.java
+++ b/settings/src/main/java/dev/ibishub/settings/NodeSettings.java
@@ -142,7 +142,7 @@
   }
 
   /** Returns the keys whose values differ and cannot change while a process runs, sorted. */
-  public List<String> fixedDifferences(NodeSettings other) {
+  public List<String> changedFixedKeys(NodeSettings other) {
     return FIXED_KEYS.entrySet().stream()
         .filter(key -> !key.getValue().apply(this).equals(key.getValue().apply(other)))
         .map(Map.Entry::getKey)
@@ -154,7 +154,7 @@
    * Returns these settings with the values of other settings for the keys that cannot change while
    * a process runs.
    */
-  public NodeSettings withFixedOf(NodeSettings other) {
+  public NodeSettings withFixedKeysOf(NodeSettings other) {
     return new NodeSettings(
         other.processId,
         other.zone,
--- a/standins/src/main/java/dev/ibishub/standins/EngineGroup.java
+++ b/standins/src/main/java/dev/ibishub/standins/EngineGroup.java
@@ -61,7 +61,7 @@
     this.options = options;
     this.faults = List.copyOf(faults);
     byte[] firstMap =
-        ExpertMap.inTurn(1, options.ranks(), slots(options), options.experts()).toBytes();
+        ExpertMap.roundRobin(1, options.ranks(), slots(options), options.experts()).toBytes();
     this.ranks =
         IntStream.range(0, options.ranks())
             .mapToObj(rank -> new RankMap(firstMap, options.checksFencing()))
--- a/wire/src/main/java/dev/ibishub/wire/ClaimHolder.java
+++ b/wire/src/main/java/dev/ibishub/wire/ClaimHolderHeader.java
@@ -11,13 +11,13 @@
  * Names, in a header of an attempt's end, the process that holds the claim on a call that may run
  * only once. Used between agents and entries, behind ibishub's own interface.
  */
-public final class ClaimHolder {
+public final class ClaimHolderHeader {
   private static final String CLAIM_HOLDER_HEADER = "ibishub-claim-holder";
 
-  private ClaimHolder() {}
+  private ClaimHolderHeader() {}
 
   /** Returns the end of an attempt that did not run because another process holds the claim. */
-  public static AnswerEnd end(ProcessIncarnation holder) {
+  public static AnswerEnd alreadyRunning(ProcessIncarnation holder) {
     return new AnswerEnd(
         ResultCode.ALREADY_RUNNING,
         "another process claimed this key first",
@@ -30,7 +30,7 @@
   }
 
   /** Returns the claim holder that an end names; empty when it has no such header. */
-  public static Optional<ProcessIncarnation> of(AnswerEnd end) {
+  public static Optional<ProcessIncarnation> holderOf(AnswerEnd end) {
     return end.headers().getOrDefault(CLAIM_HOLDER_HEADER, List.of()).stream()
         .findFirst()
         .map(
--- a/wire/src/main/java/dev/ibishub/wire/WireTransport.java
+++ b/wire/src/main/java/dev/ibishub/wire/WireTransport.java
@@ -78,7 +78,7 @@
    * @param identity identity that this process presents to its peers
    * @param group the I/O threads; shut down when the transport is closed
    */
-  public static WireTransport sharing(Identity identity, EventLoopGroup group) {
+  public static WireTransport createOnGroup(Identity identity, EventLoopGroup group) {
     return new WireTransport(identity, Optional.empty(), group);
   }
 
